--- a/include/cuminswitch/Admission/quota_policy.h
+++ b/include/cuminswitch/Admission/quota_policy.h
@@ -64,12 +64,12 @@
 /// What a daemon knows of the others.
 struct quota_fleet_view {
   /// The others that live.
-  std::span<const endpoint> living;
+  std::span<const endpoint> alive;
   /// Daemons of the deployment that may be at work, silent ones and this one
   /// included.
   size_t known = 1;
   /// Within this time of a change all know of it.
-  duration notice_time = std::chrono::seconds(3);
+  duration convergence_time = std::chrono::seconds(3);
   /// This daemon stops, and the others pass it over.
   bool is_leaving = false;
 };
--- a/include/cuminswitch/Fleet/fleet_message.h
+++ b/include/cuminswitch/Fleet/fleet_message.h
@@ -68,13 +68,13 @@
 };
 /// The living peers, or what they say of themselves, changed.
 struct peers_changed {
-  std::vector<daemon_record> living;
+  std::vector<daemon_record> alive;
   /// Daemons of the deployment, dead ones and this one included.
   size_t known = 1;
   /// Those of them that may be at work, although nothing is heard of some.
-  size_t maybe_at_work = 1;
+  size_t possibly_active = 1;
   /// Within this time of a change all know of it.
-  duration notice_time{0};
+  duration convergence_time{0};
   /// This daemon beats only some of its peers, and they pass on what it tells.
   bool is_partial = false;
 };
--- a/include/cuminswitch/Fleet/fleet_task.h
+++ b/include/cuminswitch/Fleet/fleet_task.h
@@ -111,7 +111,7 @@
   const kernel& services_;
   options options_;
   parts with_;
-  peer_roster roster_;
+  peer_table roster_;
   item_feed feed_;
   leader_election election_;
   weights_rollout rollout_;
--- a/include/cuminswitch/Fleet/peer_roster.h
+++ b/include/cuminswitch/Fleet/peer_roster.h
@@ -33,7 +33,7 @@
 /// Where a turn would take so long that most of what beats carry is out of date
 /// before it comes, a daemon beats partners that it keeps for a while, most of
 /// them of its failure domain, and what has to reach all is passed on.
-class peer_roster {
+class peer_table {
  public:
   struct options {
     std::string self_name;
@@ -47,13 +47,13 @@
 
   /// Time between two rounds of beats. They carry what requests wait for,
   /// which changes within a few hundred milliseconds.
-  static constexpr duration kBeatInterval = std::chrono::milliseconds(120);
+  static constexpr duration kHeartbeatInterval = std::chrono::milliseconds(120);
 
   /// A peer that is silent for so long, in a fleet that one round reaches, is
   /// taken for gone, and is out of the address answers within a second.
-  static constexpr duration kLivingTime = std::chrono::milliseconds(800);
+  static constexpr duration kFailureTimeout = std::chrono::milliseconds(800);
 
-  explicit peer_roster(options opts);
+  explicit peer_table(options opts);
 
   void SetListed(std::span<const daemon_entry> daemons);
   /// Returns whether what the peer says of itself changed.
@@ -65,30 +65,30 @@
   std::vector<endpoint> ChooseTargets(time_point now);
   /// Whether to answer a beat from \p address out of turn; if so, that counts
   /// as its turn.
-  bool TakeAnswerTurn(time_point now, const endpoint& address);
+  bool TryReserveReply(time_point now, const endpoint& address);
   /// Some who may listen, for what should be known at once. In a large fleet
   /// they pass it on.
   std::vector<endpoint> ListReachable(time_point now) const;
   /// The peers that live, ready or not, in the order of their names.
-  std::vector<daemon_record> ListLiving(time_point now) const;
+  std::vector<daemon_record> ListAlive(time_point now) const;
   /// What the peer \p name says of itself; null where nothing is known.
   const daemon_record* Find(const std::string& name) const;
-  bool IsLiving(time_point now, const std::string& name) const;
+  bool IsAlive(time_point now, const std::string& name) const;
   /// Whether, since the last call, a peer came, went, or said something else of
   /// itself.
-  bool TakeNews(time_point now);
+  bool TakeChanged(time_point now);
   /// Returns the addresses of some living peers for a beat, others each time.
-  std::vector<endpoint> NameLiving(time_point now);
+  std::vector<endpoint> SampleAlive(time_point now);
 
   /// This daemon says something else of itself from now on.
-  void RenewSelf() { ++self_version_; }
+  void IncrementSelfVersion() { ++self_version_; }
   uint32_t self_version() const { return self_version_; }
   /// Whether the peer at \p address watches this daemon.
   bool IsWatcher(const endpoint& address) const {
     return watchers_.contains(address);
   }
   /// Returns the news of members for a beat to \p address.
-  std::vector<member_news> TakeMemberNews(time_point now,
+  std::vector<member_news> TakeMemberUpdates(time_point now,
                                           const endpoint& address);
   /// Returns the names of the peers that came under suspicion since the last
   /// call.
@@ -97,7 +97,7 @@
   }
   /// Whether the peer at \p address has just been heard though others hold it
   /// for gone, and is to be told.
-  bool MustHearSuspicion(const endpoint& address) const {
+  bool MustNotifySuspected(const endpoint& address) const {
     return to_hear_suspicion_.contains(address);
   }
 
@@ -116,9 +116,9 @@
   /// Daemons that may serve callers, this one included: those that live, and
   /// those that fell silent within the last minute. A silent one may only be
   /// cut off from here, and go on.
-  size_t CountMaybeAtWork(time_point now) const;
+  size_t CountPossiblyActive(time_point now) const;
   /// Within this time of a daemon's end, or return, all have noticed it.
-  duration NoticeTime() const;
+  duration ConvergenceTime() const;
 
  private:
   struct peer {
@@ -155,7 +155,7 @@
     bool is_of_own_domain = false;
   };
 
-  bool IsLiving(time_point now, const peer& item) const;
+  bool IsAlive(time_point now, const peer& item) const;
   /// Drops partners that are gone and the one that was kept longest, once its
   /// time is over, and finds others.
   void RenewPartners(time_point now);
--- a/include/cuminswitch/Fleet/store_duty.h
+++ b/include/cuminswitch/Fleet/store_duty.h
@@ -28,7 +28,7 @@
   struct view {
     const daemon_record& self;
     /// Its living peers.
-    std::span<const daemon_record> living;
+    std::span<const daemon_record> alive;
     const staleness_tracker& staleness;
     /// When the store last answered this daemon, and last failed to.
     time_point answered_at{};
--- a/lib/Admission/even_quota_policy.cc
+++ b/lib/Admission/even_quota_policy.cc
@@ -12,7 +12,7 @@
 
 void even_quota_policy::SetFleet(time_point /*now*/,
                                  const quota_fleet_view& fleet) {
-  known_ = std::max(fleet.known, fleet.living.size() + 1);
+  known_ = std::max(fleet.known, fleet.alive.size() + 1);
 }
 
 /// A number from 0 to 1 that differs between daemons and subjects.
--- a/lib/Admission/owner_quota_policy.cc
+++ b/lib/Admission/owner_quota_policy.cc
@@ -52,11 +52,11 @@
   std::vector<candidate> next;
   // A daemon that stops serves on for seconds. As an owner in its own eyes it
   // would give out each limit beside the one whom all others ask.
-  const bool is_candidate = !fleet.is_leaving || fleet.living.empty();
+  const bool is_candidate = !fleet.is_leaving || fleet.alive.empty();
   if (is_candidate) {
     next.push_back(self_);
   }
-  for (const endpoint& address : fleet.living) {
+  for (const endpoint& address : fleet.alive) {
     if (address != self_.address) {
       next.push_back({.address = address, .hash = HashOf(address)});
     }
@@ -65,7 +65,7 @@
   candidates_ = std::move(next);
   const size_t living = candidates_.size() + (is_candidate ? 0 : 1);
   known_ = std::max(fleet.known, living);
-  notice_time_ = fleet.notice_time;
+  notice_time_ = fleet.convergence_time;
   started_at_ = started_at_.value_or(now);
   seen_.push_back(
       {.from = now,
--- a/lib/Edge/edge_knowledge.cc
+++ b/lib/Edge/edge_knowledge.cc
@@ -103,12 +103,12 @@
 }
 
 void edge_task::Take(const peers_changed& news) {
-  peers_ = news.living;
+  peers_ = news.alive;
   fleet_size_ = news.known;
-  notice_time_ = news.notice_time;
+  notice_time_ = news.convergence_time;
   passes_on_ = news.is_partial;
-  const bool has_other_share = maybe_at_work_ != news.maybe_at_work;
-  maybe_at_work_ = news.maybe_at_work;
+  const bool has_other_share = maybe_at_work_ != news.possibly_active;
+  maybe_at_work_ = news.possibly_active;
   TellQuotasOfFleet(ReadBootClock());
   if (has_other_share) {
     pool_.TrimIdle();
--- a/lib/Edge/edge_quotas.cc
+++ b/lib/Edge/edge_quotas.cc
@@ -30,9 +30,9 @@
     std::sort(living.begin(), living.end());
     living.erase(std::unique(living.begin(), living.end()), living.end());
   }
-  const quota_fleet_view fleet{.living = living,
+  const quota_fleet_view fleet{.alive = living,
                                .known = maybe_at_work_,
-                               .notice_time = notice_time_,
+                               .convergence_time = notice_time_,
                                .is_leaving = stop_.HasBegun()};
   quotas_.policy().SetFleet(now, fleet);
   limits_.policy().SetFleet(now, fleet);
--- a/lib/Fleet/fleet_publishing.cc
+++ b/lib/Fleet/fleet_publishing.cc
@@ -10,7 +10,7 @@
 namespace cuminswitch {
 
 /// Between two messages on the peers to the edge.
-static constexpr duration kPeersInterval = peer_roster::kBeatInterval / 2;
+static constexpr duration kPeersInterval = peer_table::kHeartbeatInterval / 2;
 /// What a leader said is being changed counts for so long.
 static constexpr duration kChangingTime = std::chrono::milliseconds(900);
 
@@ -43,20 +43,20 @@
   if (now - published_peers_at_ < kPeersInterval) {
     return;
   }
-  const size_t maybe_at_work = roster_.CountMaybeAtWork(now);
-  if (!roster_.TakeNews(now) && maybe_at_work == published_at_work_) {
+  const size_t possibly_active = roster_.CountPossiblyActive(now);
+  if (!roster_.TakeChanged(now) && possibly_active == published_at_work_) {
     return;
   }
-  std::vector<daemon_record> living = roster_.ListLiving(now);
+  std::vector<daemon_record> living = roster_.ListAlive(now);
   published_peers_at_ = now;
-  published_at_work_ = maybe_at_work;
+  published_at_work_ = possibly_active;
   NotePeerChanges(living);
   duty_.OnPeers(options_.self, living);
   services_.FindPort<fleet_news>(kEdgeService)
-      .Post(peers_changed{.living = living,
+      .Post(peers_changed{.alive = living,
                           .known = roster_.CountKnown(),
-                          .maybe_at_work = maybe_at_work,
-                          .notice_time = roster_.NoticeTime(),
+                          .possibly_active = possibly_active,
+                          .convergence_time = roster_.ConvergenceTime(),
                           .is_partial = roster_.IsPartial()});
   published_peers_ = std::move(living);
 }
--- a/lib/Fleet/fleet_task.cc
+++ b/lib/Fleet/fleet_task.cc
@@ -109,7 +109,7 @@
     options_.self.is_ready = false;
     election_.Resign();
   }
-  roster_.RenewSelf();
+  roster_.IncrementSelfVersion();
   Announce();
 }
 
@@ -170,8 +170,8 @@
   // It has just started, and learns from this who has the items; or it learns
   // that others take it for gone.
   const bool wants_answer = (awaits_list && feed_.view().HasRead()) ||
-                            roster_.MustHearSuspicion(beat.sender.peer_address);
-  if (wants_answer && roster_.TakeAnswerTurn(now, beat.sender.peer_address)) {
+                            roster_.MustNotifySuspected(beat.sender.peer_address);
+  if (wants_answer && roster_.TryReserveReply(now, beat.sender.peer_address)) {
     SendBeat(beat.sender.peer_address);
   }
   AskPeers(now);
@@ -208,7 +208,7 @@
   self.has_store = feed_.IsFresh(now, kStoreFresh);
   self.awaits = lapsed_.Awaits(now);
   beat_frame beat{.sender = self,
-                  .heard = roster_.NameLiving(now),
+                  .heard = roster_.SampleAlive(now),
                   .changing = {},
                   .backlogs = own_backlogs_,
                   .prefixes = placement_news_.TakeFor(to),
@@ -216,7 +216,7 @@
                   .limits = own_limits_.limits,
                   .quarantine = crash_bulletin_.TakeFor(now, to),
                   .is_watched = roster_.IsWatcher(to),
-                  .members = roster_.TakeMemberNews(now, to),
+                  .members = roster_.TakeMemberUpdates(now, to),
                   .evidence = staleness_.Youngest(now)};
   for (limit_news& item : beat.limits) {
     item.age += now - own_limits_.at;
@@ -234,7 +234,7 @@
 }
 
 void fleet_task::OnTick() {
-  beat_timer_.Start(peer_roster::kBeatInterval);
+  beat_timer_.Start(peer_table::kHeartbeatInterval);
   const time_point now = ReadBootClock();
   for (const endpoint& to : roster_.ChooseTargets(now)) {
     SendBeat(to);
@@ -323,7 +323,7 @@
 
 void fleet_task::DecideFollowing(time_point now) {
   feed_.SetFollowing(duty_.Decide(now, {.self = options_.self,
-                                        .living = published_peers_,
+                                        .alive = published_peers_,
                                         .staleness = staleness_,
                                         .answered_at = feed_.answered_at(),
                                         .failed_at = feed_.failed_at(),
--- a/lib/Fleet/peer_roster.cc
+++ b/lib/Fleet/peer_roster.cc
@@ -15,7 +15,7 @@
   return std::tuple(record.incarnation, record.version, is_suspected);
 }
 
-peer_roster::peer_roster(options opts) : options_(std::move(opts)) {
+peer_table::peer_table(options opts) : options_(std::move(opts)) {
   for (const endpoint& seed : options_.seeds) {
     if (seed != options_.self_address) {
       addresses_[seed].is_listed = true;
@@ -23,7 +23,7 @@
   }
 }
 
-void peer_roster::SetListed(std::span<const daemon_entry> daemons) {
+void peer_table::SetListed(std::span<const daemon_entry> daemons) {
   for (auto& [address, state] : addresses_) {
     state.is_listed = std::find(options_.seeds.begin(), options_.seeds.end(),
                                 address) != options_.seeds.end();
@@ -35,15 +35,15 @@
   }
 }
 
-bool peer_roster::IsLarge() const {
+bool peer_table::IsLarge() const {
   return addresses_.size() > kBeatsPerRound;
 }
 
-bool peer_roster::IsPartial() const {
+bool peer_table::IsPartial() const {
   return addresses_.size() > kBeatsPerRound * kMostRoundsInATurn;
 }
 
-bool peer_roster::OnBeat(time_point now, const beat_frame& beat) {
+bool peer_table::OnBeat(time_point now, const beat_frame& beat) {
   const daemon_record& sender = beat.sender;
   if (sender.name == options_.self_name) {
     return false;
@@ -65,7 +65,7 @@
   const bool is_late = sender.incarnation == known.record.incarnation &&
                        sender.version < known.record.version;
   const bool is_news =
-      !is_late && (!IsLiving(now, known) ||
+      !is_late && (!IsAlive(now, known) ||
                    known.record.incarnation != sender.incarnation ||
                    known.record.version != sender.version ||
                    known.record.is_ready != sender.is_ready ||
@@ -108,7 +108,7 @@
   return is_news;
 }
 
-void peer_roster::OnMemberNews(time_point now, const member_news& news) {
+void peer_table::OnMemberNews(time_point now, const member_news& news) {
   const daemon_record& record = news.record;
   if (record.name == options_.self_name) {
     OnSelfNews(news);
@@ -152,7 +152,7 @@
   must_choose_watchers_ = true;
 }
 
-void peer_roster::OnSelfNews(const member_news& news) {
+void peer_table::OnSelfNews(const member_news& news) {
   if (news.is_suspected &&
       news.record.incarnation == options_.self_incarnation &&
       news.record.version >= self_version_) {
@@ -160,7 +160,7 @@
   }
 }
 
-void peer_roster::Suspect(time_point now, peer& item) {
+void peer_table::Suspect(time_point now, peer& item) {
   item.suspected_at = now;
   item.has_contradicted = false;
   watched_.erase(item.record.name);
@@ -169,7 +169,7 @@
   bulletin_.Add({.record = item.record, .is_suspected = true});
 }
 
-void peer_roster::SuspectSilent(time_point now) {
+void peer_table::SuspectSilent(time_point now) {
   if (now - last_round_ > kLongestRound) {
     awake_since_ = now;
   }
@@ -189,7 +189,7 @@
   }
 }
 
-void peer_roster::AdoptOrphans(time_point now) {
+void peer_table::AdoptOrphans(time_point now) {
   const bool is_due = IsPartial() && now >= next_adoption_;
   if (!IsLarge() || (!must_adopt_ && !is_due)) {
     return;
@@ -206,7 +206,7 @@
   }
 }
 
-std::vector<member_news> peer_roster::TakeMemberNews(time_point now,
+std::vector<member_news> peer_table::TakeMemberUpdates(time_point now,
                                                      const endpoint& address) {
   std::vector<member_news> news = bulletin_.Take(kMemberNewsPerBeat);
   if (IsPartial() && news.size() < kMemberNewsPerBeat) {
@@ -226,17 +226,17 @@
   return news;
 }
 
-duration peer_roster::Horizon() const {
+duration peer_table::Horizon() const {
   const size_t rounds = std::max<size_t>(
       1, (addresses_.size() + kBeatsPerRound - 1) / kBeatsPerRound);
-  return kLivingTime + kBeatInterval * (rounds - 1) * 3;
+  return kFailureTimeout + kHeartbeatInterval * (rounds - 1) * 3;
 }
 
-duration peer_roster::NoticeTime() const {
-  return std::min(Horizon() + kLivingTime, kLongestNotice);
+duration peer_table::ConvergenceTime() const {
+  return std::min(Horizon() + kFailureTimeout, kLongestNotice);
 }
 
-bool peer_roster::IsLiving(time_point now, const peer& item) const {
+bool peer_table::IsAlive(time_point now, const peer& item) const {
   const bool is_gone =
       item.suspected_at && now - *item.suspected_at > kSuspicionTime;
   if (item.known_at == time_point() || is_gone) {
@@ -246,30 +246,30 @@
                      : now - item.known_at <= Horizon();
 }
 
-const daemon_record* peer_roster::Find(const std::string& name) const {
+const daemon_record* peer_table::Find(const std::string& name) const {
   const auto found = peers_.find(name);
   return found == peers_.end() ? nullptr : &found->second.record;
 }
 
-bool peer_roster::IsLiving(time_point now, const std::string& name) const {
+bool peer_table::IsAlive(time_point now, const std::string& name) const {
   const auto found = peers_.find(name);
-  return found != peers_.end() && IsLiving(now, found->second);
+  return found != peers_.end() && IsAlive(now, found->second);
 }
 
-std::vector<daemon_record> peer_roster::ListLiving(time_point now) const {
+std::vector<daemon_record> peer_table::ListAlive(time_point now) const {
   std::vector<daemon_record> list;
   for (const auto& [name, item] : peers_) {
-    if (IsLiving(now, item)) {
+    if (IsAlive(now, item)) {
       list.push_back(item.record);
     }
   }
   return list;
 }
 
-bool peer_roster::TakeNews(time_point now) {
+bool peer_table::TakeChanged(time_point now) {
   own_domain_living_ = 0;
   for (auto& [name, item] : peers_) {
-    const bool is_living = IsLiving(now, item);
+    const bool is_living = IsAlive(now, item);
     if (is_living && item.record.failure_domain == options_.self_domain) {
       ++own_domain_living_;
     }
@@ -283,7 +283,7 @@
   return std::exchange(has_news_, false);
 }
 
-std::vector<endpoint> peer_roster::NameLiving(time_point now) {
+std::vector<endpoint> peer_table::SampleAlive(time_point now) {
   std::vector<endpoint> named;
   if (IsPartial()) {
     // There a whole record stands among the news of members.
@@ -295,7 +295,7 @@
   return named;
 }
 
-std::vector<const peer_roster::peer*> peer_roster::NextLiving(time_point now,
+std::vector<const peer_table::peer*> peer_table::NextLiving(time_point now,
                                                               size_t count) {
   std::vector<const peer*> named;
   auto next = peers_.upper_bound(last_named_);
@@ -303,7 +303,7 @@
     if (next == peers_.end()) {
       next = peers_.begin();
     }
-    if (IsLiving(now, next->second)) {
+    if (IsAlive(now, next->second)) {
       named.push_back(&next->second);
       last_named_ = next->first;
     }
@@ -312,19 +312,19 @@
   return named;
 }
 
-size_t peer_roster::CountMaybeAtWork(time_point now) const {
+size_t peer_table::CountPossiblyActive(time_point now) const {
   return 1 +
          std::count_if(
              addresses_.begin(), addresses_.end(), [&](const auto& item) {
                const address_state& state = item.second;
-               return (state.owner != nullptr && IsLiving(now, *state.owner)) ||
+               return (state.owner != nullptr && IsAlive(now, *state.owner)) ||
                       now - std::max({state.heard_at, state.named_at,
                                       state.known_at}) <=
                           kMaybeAtWorkTime;
              });
 }
 
-size_t peer_roster::CountKnown() const {
+size_t peer_table::CountKnown() const {
   return 1 + std::max(peers_.size(), addresses_.size());
 }
 
--- a/lib/Fleet/peer_targets.cc
+++ b/lib/Fleet/peer_targets.cc
@@ -19,7 +19,7 @@
           address};
 }
 
-std::vector<peer_roster::peer*> peer_roster::ListNext(time_point now,
+std::vector<peer_table::peer*> peer_table::ListNext(time_point now,
                                                       ring_side side,
                                                       bool is_of_own_domain,
                                                       size_t count) {
@@ -27,7 +27,7 @@
   std::vector<std::pair<uint64_t, peer*>> ring;
   for (auto& [name, item] : peers_) {
     const bool is_own = item.record.failure_domain == options_.self_domain;
-    if (is_own == is_of_own_domain && IsLiving(now, item) &&
+    if (is_own == is_of_own_domain && IsAlive(now, item) &&
         !item.suspected_at) {
       ring.emplace_back(side == ring_side::kWatched ? self - item.name_hash
                                                     : item.name_hash - self,
@@ -45,7 +45,7 @@
   return next;
 }
 
-void peer_roster::ChooseWatchers(time_point now,
+void peer_table::ChooseWatchers(time_point now,
                                  std::vector<endpoint>& targets) {
   if (!std::exchange(must_choose_watchers_, false)) {
     return;
@@ -69,10 +69,10 @@
   watchers_ = std::move(chosen);
 }
 
-void peer_roster::BeginTurn(time_point now) {
+void peer_table::BeginTurn(time_point now) {
   std::erase_if(addresses_, [&](const auto& item) {
     const address_state& state = item.second;
-    const bool lives = state.owner != nullptr && IsLiving(now, *state.owner);
+    const bool lives = state.owner != nullptr && IsAlive(now, *state.owner);
     return !state.is_listed && !lives &&
            now - std::max(state.heard_at, state.named_at) > kForgetAfter;
   });
@@ -92,7 +92,7 @@
   }
 }
 
-peer_roster::address_map::value_type* peer_roster::TakeNextInTurn(
+peer_table::address_map::value_type* peer_table::TakeNextInTurn(
     time_point now) {
   while (!turn_.empty()) {
     const auto found = addresses_.find(turn_.back());
@@ -108,7 +108,7 @@
   return nullptr;
 }
 
-std::vector<endpoint> peer_roster::ChooseTargets(time_point now) {
+std::vector<endpoint> peer_table::ChooseTargets(time_point now) {
   SuspectSilent(now);
   std::vector<endpoint> chosen;
   ChooseWatchers(now, chosen);
@@ -149,16 +149,16 @@
   return chosen;
 }
 
-bool peer_roster::MayBePartner(time_point now,
+bool peer_table::MayBePartner(time_point now,
                                const address_state& state,
                                time_point since) const {
   if (state.owner != nullptr) {
-    return IsLiving(now, *state.owner);
+    return IsAlive(now, *state.owner);
   }
   return now - since < kUnknownPartnerTime;
 }
 
-void peer_roster::RenewPartners(time_point now) {
+void peer_table::RenewPartners(time_point now) {
   std::erase_if(partners_, [&](const partner& item) {
     const auto found = addresses_.find(item.address);
     return found == addresses_.end() ||
@@ -173,7 +173,7 @@
   }
 }
 
-void peer_roster::FindPartners(time_point now) {
+void peer_table::FindPartners(time_point now) {
   if (turn_.empty()) {
     BeginTurn(now);
   }
@@ -210,7 +210,7 @@
   }
 }
 
-bool peer_roster::TakeAnswerTurn(time_point now, const endpoint& address) {
+bool peer_table::TryReserveReply(time_point now, const endpoint& address) {
   address_state& state = addresses_[address];
   if (now - state.tried_at < kAnswerInterval) {
     return false;
@@ -219,7 +219,7 @@
   return true;
 }
 
-std::vector<endpoint> peer_roster::ListReachable(time_point now) const {
+std::vector<endpoint> peer_table::ListReachable(time_point now) const {
   if (IsPartial()) {
     std::vector<endpoint> reachable(watchers_.begin(), watchers_.end());
     for (const partner& item : partners_) {
@@ -242,7 +242,7 @@
   return reachable;
 }
 
-const daemon_record* peer_roster::FindAhead(time_point now,
+const daemon_record* peer_table::FindAhead(time_point now,
                                             revision_number revision,
                                             uint64_t turn) const {
   const uint64_t key = Hash64(options_.self_name, turn);
@@ -256,7 +256,7 @@
   const peer* best = nullptr;
   for (const auto& [name, item] : peers_) {
     const bool is_ahead =
-        IsLiving(now, item) && item.record.revision > revision;
+        IsAlive(now, item) && item.record.revision > revision;
     if (is_ahead && (best == nullptr || rank(item) > rank(*best))) {
       best = &item;
     }
--- a/lib/Fleet/roster_constants.h
+++ b/lib/Fleet/roster_constants.h
@@ -46,7 +46,7 @@
 inline constexpr duration kSuspicionTime = std::chrono::milliseconds(400);
 /// A daemon that was away for longer between two rounds has not read what its
 /// peers sent.
-inline constexpr duration kLongestRound = 3 * peer_roster::kBeatInterval;
+inline constexpr duration kLongestRound = 3 * peer_table::kHeartbeatInterval;
 /// Peers named in a beat, others each time. The store lists them all, so this
 /// is for the time without it; many beats a second name all peers soon.
 inline constexpr size_t kNamedPerBeat = 3;
--- a/lib/Fleet/store_duty.cc
+++ b/lib/Fleet/store_duty.cc
@@ -27,13 +27,13 @@
   // An answer from before the items were stale says nothing of now.
   const duration span = std::min<duration>(kStoreFresh, now - stands_in_since_);
   std::vector<daemon_record> answered;
-  for (const daemon_record& item : seen.living) {
+  for (const daemon_record& item : seen.alive) {
     if (seen.staleness.WasAnswered(now, Hash64(item.name), span)) {
       answered.push_back(item);
     }
   }
   return !RanksFirst(seen.self, answered,
-                     FollowersPerDomain(seen.self, seen.living));
+                     FollowersPerDomain(seen.self, seen.alive));
 }
 
 duration store_duty::TryInterval(const view& seen) {
--- a/unittests/Admission/quota_fleet.cc
+++ b/unittests/Admission/quota_fleet.cc
@@ -73,13 +73,13 @@
   for (const daemon& other : daemons_) {
     listed.push_back(other.address);
   }
-  item.policy->SetFleet(ClockOf(item), {.living = listed,
+  item.policy->SetFleet(ClockOf(item), {.alive = listed,
                                         .known = daemons_.size(),
-                                        .notice_time = NoticeTime()});
+                                        .convergence_time = ConvergenceTime()});
   At(now_ + Uniform(0.2, 1.2), [this, index] { TellFleet(index); });
 }
 
-duration quota_fleet::NoticeTime() const {
+duration quota_fleet::ConvergenceTime() const {
   return FromSeconds(options_.detection_seconds + kNoticeSlack);
 }
 
@@ -99,9 +99,9 @@
       living.push_back(daemons_[i].address);
     }
   }
-  item.policy->SetFleet(ClockOf(item), {.living = living,
+  item.policy->SetFleet(ClockOf(item), {.alive = living,
                                         .known = daemons_.size(),
-                                        .notice_time = NoticeTime(),
+                                        .convergence_time = ConvergenceTime(),
                                         .is_leaving = item.is_leaving});
 }
 
--- a/unittests/Admission/quota_fleet.h
+++ b/unittests/Admission/quota_fleet.h
@@ -113,7 +113,7 @@
   };
 
   time_point ClockOf(const daemon& item) const;
-  duration NoticeTime() const;
+  duration ConvergenceTime() const;
   void Start(size_t index);
   void TellFleet(size_t index);
   /// All learn of a change, each at its own time.
--- a/unittests/Fleet/peer_roster_test.cc
+++ b/unittests/Fleet/peer_roster_test.cc
@@ -29,24 +29,24 @@
           .prefixes = {}};
 }
 
-peer_roster MakeRoster(std::vector<endpoint> seeds = {}) {
-  return peer_roster({.self_name = "self",
+peer_table MakeRoster(std::vector<endpoint> seeds = {}) {
+  return peer_table({.self_name = "self",
                       .self_address = Address(1),
                       .seeds = std::move(seeds)});
 }
 
 // Symptom: callers are sent to a host that is gone.
-TEST(peer_roster_test, ASilentPeerIsOutWithinASecond) {
-  peer_roster roster = MakeRoster();
+TEST(peer_table_test, ASilentPeerIsOutWithinASecond) {
+  peer_table roster = MakeRoster();
   EXPECT_TRUE(roster.OnBeat(kStart, BeatOf("a", 2)));
-  EXPECT_EQ(roster.ListLiving(kStart).size(), 1U);
-  EXPECT_EQ(roster.ListLiving(kStart + std::chrono::milliseconds(700)).size(),
+  EXPECT_EQ(roster.ListAlive(kStart).size(), 1U);
+  EXPECT_EQ(roster.ListAlive(kStart + std::chrono::milliseconds(700)).size(),
             1U);
-  EXPECT_TRUE(roster.ListLiving(kStart + std::chrono::seconds(1)).empty());
+  EXPECT_TRUE(roster.ListAlive(kStart + std::chrono::seconds(1)).empty());
 }
 
-TEST(peer_roster_test, TellsNewsFromRepetition) {
-  peer_roster roster = MakeRoster();
+TEST(peer_table_test, TellsNewsFromRepetition) {
+  peer_table roster = MakeRoster();
   EXPECT_TRUE(roster.OnBeat(kStart, BeatOf("a", 2)));
   EXPECT_FALSE(roster.OnBeat(kStart, BeatOf("a", 2)));
   beat_frame leaving = BeatOf("a", 2);
@@ -57,19 +57,19 @@
 // Symptom: a restarted daemon is taken for leaving.
 // Sequence: its first start says that it leaves; the second start beats; a late
 // beat of the first start arrives.
-TEST(peer_roster_test, ABeatOfAnEarlierStartCountsNothing) {
-  peer_roster roster = MakeRoster();
+TEST(peer_table_test, ABeatOfAnEarlierStartCountsNothing) {
+  peer_table roster = MakeRoster();
   beat_frame now = BeatOf("a", 2);
   now.sender.incarnation = 2;
   roster.OnBeat(kStart, now);
   beat_frame late = BeatOf("a", 2);
   late.sender.is_leaving = true;
   EXPECT_FALSE(roster.OnBeat(kStart, late));
-  EXPECT_FALSE(roster.ListLiving(kStart)[0].is_leaving);
+  EXPECT_FALSE(roster.ListAlive(kStart)[0].is_leaving);
 }
 
-TEST(peer_roster_test, FindsPeersThroughSeedsAndPeers) {
-  peer_roster roster = MakeRoster({Address(2)});
+TEST(peer_table_test, FindsPeersThroughSeedsAndPeers) {
+  peer_table roster = MakeRoster({Address(2)});
   EXPECT_EQ(roster.ChooseTargets(kStart), std::vector{Address(2)});
   beat_frame beat = BeatOf("b", 2);
   beat.heard = {Address(1), Address(3)};
@@ -79,8 +79,8 @@
             (std::set{Address(2), Address(3)}));
 }
 
-TEST(peer_roster_test, ASilentAddressIsTriedRarely) {
-  peer_roster roster = MakeRoster({Address(2)});
+TEST(peer_table_test, ASilentAddressIsTriedRarely) {
+  peer_table roster = MakeRoster({Address(2)});
   int tries = 0;
   for (int i = 0; i < 40; ++i) {
     tries += static_cast<int>(
@@ -90,12 +90,12 @@
   EXPECT_EQ(tries, 4);
 }
 
-TEST(peer_roster_test, TheCostOfARoundIsBoundedAndEverybodyIsReached) {
+TEST(peer_table_test, TheCostOfARoundIsBoundedAndEverybodyIsReached) {
   std::vector<endpoint> seeds;
   for (int i = 2; i < 102; ++i) {
     seeds.push_back(Address(i));
   }
-  peer_roster roster = MakeRoster(seeds);
+  peer_table roster = MakeRoster(seeds);
   std::set<endpoint> reached;
   for (int i = 0; i < 7; ++i) {
     const auto targets = roster.ChooseTargets(kStart);
@@ -110,7 +110,7 @@
 // Sequence: 300 daemons start; eight of them, two a failure domain, follow the
 // store; the others ask a peer that is ahead for all 3,000 upstreams.
 // Cause: all asked the one peer that knew most, wherever it was.
-TEST(peer_roster_test, QuestionsAreSpreadOverTheFollowersOfTheDomain) {
+TEST(peer_table_test, QuestionsAreSpreadOverTheFollowersOfTheDomain) {
   constexpr int kDaemons = 300;
   constexpr int kDomains = 4;
   constexpr int kFollowers = 8;
@@ -120,7 +120,7 @@
   std::map<std::string, int> asked;
   int across = 0;
   for (int self = kFollowers; self < kDaemons; ++self) {
-    peer_roster roster({.self_name = "d" + std::to_string(self),
+    peer_table roster({.self_name = "d" + std::to_string(self),
                         .self_address = {"10.0.0.1", 1},
                         .self_domain = domain_of(self),
                         .seeds = {}});
@@ -145,8 +145,8 @@
 
 // Symptom: a daemon learns nothing for seconds.
 // Sequence: the peer that it asks has lost the way to it.
-TEST(peer_roster_test, AnotherPeerIsAskedNextTime) {
-  peer_roster roster = MakeRoster();
+TEST(peer_table_test, AnotherPeerIsAskedNextTime) {
+  peer_table roster = MakeRoster();
   for (const char* name : {"a", "b", "c", "d"}) {
     beat_frame beat = BeatOf(name, 2 + (name[0] - 'a'));
     beat.sender.revision = 5;
@@ -159,8 +159,8 @@
   EXPECT_EQ(asked.size(), 4U);
 }
 
-TEST(peer_roster_test, FindsAPeerThatKnowsMore) {
-  peer_roster roster = MakeRoster();
+TEST(peer_table_test, FindsAPeerThatKnowsMore) {
+  peer_table roster = MakeRoster();
   beat_frame a = BeatOf("a", 2);
   a.sender.revision = 5;
   beat_frame b = BeatOf("b", 3);
--- a/unittests/Fleet/roster_fleet.cc
+++ b/unittests/Fleet/roster_fleet.cc
@@ -23,7 +23,7 @@
                         {.sender = from.record});
       to.roster->OnBeat(now_, {.sender = from.record});
     }
-    while (to.roster->TakeMemberNews(now_, {}).size() > 1) {
+    while (to.roster->TakeMemberUpdates(now_, {}).size() > 1) {
     }
   }
 }
@@ -46,7 +46,7 @@
                  .caller_address = AddressOf(number),
                  .failure_domain = "domain-" + std::to_string(DomainOf(number)),
                  .is_ready = true};
-  item.roster = std::make_unique<peer_roster>(peer_roster::options{
+  item.roster = std::make_unique<peer_table>(peer_table::options{
       .self_name = item.record.name,
       .self_incarnation = incarnation,
       .self_address = item.record.peer_address,
@@ -58,10 +58,10 @@
   }
   item.roster->SetListed(listed);
   // It serves from now on.
-  item.roster->RenewSelf();
+  item.roster->IncrementSelfVersion();
   item.record.version = item.roster->self_version();
   item.is_up = true;
-  const duration interval = peer_roster::kBeatInterval;
+  const duration interval = peer_table::kHeartbeatInterval;
   rounds_.emplace(now_ + interval * (random_() % 1000) / 1000, number);
 }
 
@@ -69,9 +69,9 @@
   Start(host, hosts_[host].record.incarnation + 1);
 }
 
-void roster_fleet::RenewSelf(size_t host, bool is_leaving) {
+void roster_fleet::IncrementSelfVersion(size_t host, bool is_leaving) {
   hosts_[host].record.is_leaving = is_leaving;
-  hosts_[host].roster->RenewSelf();
+  hosts_[host].roster->IncrementSelfVersion();
 }
 
 duration roster_fleet::Delay() {
@@ -95,9 +95,9 @@
   const size_t to = found->second;
   host& sender = hosts_[from];
   beat_frame beat{.sender = sender.record,
-                  .heard = sender.roster->NameLiving(now_),
+                  .heard = sender.roster->SampleAlive(now_),
                   .is_watched = sender.roster->IsWatcher(address),
-                  .members = sender.roster->TakeMemberNews(now_, address)};
+                  .members = sender.roster->TakeMemberUpdates(now_, address)};
   beat.sender.version = sender.roster->self_version();
   ++beats_;
   member_news_ += beat.members.size();
@@ -119,7 +119,7 @@
   if (!item.is_up) {
     return;
   }
-  rounds_.emplace(now_ + peer_roster::kBeatInterval, number);
+  rounds_.emplace(now_ + peer_table::kHeartbeatInterval, number);
   if (item.is_frozen) {
     return;
   }
@@ -128,7 +128,7 @@
   }
   // A daemon looks at all peers that often, too, while some come or go.
   if (++item.rounds % 4 == 0) {
-    item.roster->TakeNews(now_);
+    item.roster->TakeChanged(now_);
   }
 }
 
@@ -161,8 +161,8 @@
       continue;
     }
     to.roster->OnBeat(now_, item.beat);
-    if (to.roster->MustHearSuspicion(item.beat.sender.peer_address) &&
-        to.roster->TakeAnswerTurn(now_, item.beat.sender.peer_address)) {
+    if (to.roster->MustNotifySuspected(item.beat.sender.peer_address) &&
+        to.roster->TryReserveReply(now_, item.beat.sender.peer_address)) {
       Send(item.to, item.beat.sender.peer_address);
     }
   }
@@ -170,7 +170,7 @@
 }
 
 bool roster_fleet::Sees(size_t number, size_t other) const {
-  return hosts_[number].roster->IsLiving(now_, hosts_[other].record.name);
+  return hosts_[number].roster->IsAlive(now_, hosts_[other].record.name);
 }
 
 size_t roster_fleet::CountMissing(size_t other) const {
--- a/unittests/Fleet/roster_fleet.h
+++ b/unittests/Fleet/roster_fleet.h
@@ -46,7 +46,7 @@
   void SetCut(std::function<bool(size_t, size_t)> is_cut) {
     is_cut_ = std::move(is_cut);
   }
-  void RenewSelf(size_t host, bool is_leaving);
+  void IncrementSelfVersion(size_t host, bool is_leaving);
 
   /// Whether \p host holds \p other for living.
   bool Sees(size_t host, size_t other) const;
@@ -66,7 +66,7 @@
 
  private:
   struct host {
-    std::unique_ptr<peer_roster> roster;
+    std::unique_ptr<peer_table> roster;
     daemon_record record;
     time_point next_round{};
     bool is_up = true;
--- a/unittests/Fleet/roster_fleet_test.cc
+++ b/unittests/Fleet/roster_fleet_test.cc
@@ -130,7 +130,7 @@
   for (const size_t hosts : {30, 300}) {
     roster_fleet fleet({.hosts = hosts});
     fleet.Run(kSettleTime);
-    fleet.RenewSelf(9, true);
+    fleet.IncrementSelfVersion(9, true);
     fleet.Run(milliseconds(700));
     EXPECT_EQ(fleet.CountLeavingKnown(9), hosts - 1) << hosts;
     fleet.Kill(4);
--- a/unittests/Fleet/store_fleet.cc
+++ b/unittests/Fleet/store_fleet.cc
@@ -83,7 +83,7 @@
     self.next_round += kRound;
     Beat(number);
     self.follows = self.duty.Decide(now_, {.self = living_[number],
-                                           .living = living_,
+                                           .alive = living_,
                                            .staleness = self.staleness,
                                            .answered_at = self.answered_at,
                                            .failed_at = self.failed_at,
--- a/unittests/PlatformAdapter/fleet_growth_test.cc
+++ b/unittests/PlatformAdapter/fleet_growth_test.cc
@@ -89,7 +89,7 @@
     for (size_t i = 0; i < hosts; ++i) {
       roster_.OnBeat(kNow, BeatOf(i));
     }
-    roster_.TakeNews(kNow);
+    roster_.TakeChanged(kNow);
   }
 
   /// Takes in changed items, from the store's answer to the router.
@@ -119,7 +119,7 @@
   }
   void Beat() {
     roster_.OnBeat(kNow, BeatOf(3));
-    roster_.NameLiving(kNow);
+    roster_.SampleAlive(kNow);
   }
   void KeepLapsed() { lapsed_.Expire(kNow, kReturned); }
   void TellNews() { view_.ListNewsSince(view_.news_revision() - 1); }
@@ -152,7 +152,7 @@
   upstream_directory lapsed_;
   lone_daemon members_;
   request_router router_{{}, members_};
-  peer_roster roster_{{.self_name = "self"}};
+  peer_table roster_{{.self_name = "self"}};
   revision_number revision_ = 0;
   size_t turn_ = 0;
 };
