--- a/include/cuminswitch/Fleet/fleet_task.h
+++ b/include/cuminswitch/Fleet/fleet_task.h
@@ -71,7 +71,7 @@
 
  private:
   bool OnFrame(std::span<const uint8_t> frame) override;
-  void OnBeat(const beat_frame& beat);
+  void OnBeat(const heartbeat_frame& beat);
   void OnItemsRequest(const items_request_frame& request);
   void OnItemsReply(const items_reply_frame& reply);
 
--- a/include/cuminswitch/Fleet/peer_frame.h
+++ b/include/cuminswitch/Fleet/peer_frame.h
@@ -67,11 +67,11 @@
 };
 
 /// Sent to peers all the time; the lack of beats shows that a daemon is gone.
-struct beat_frame {
+struct heartbeat_frame {
   daemon_record sender;
   /// Peers that the sender has heard just now, so that a daemon finds others
   /// without the store.
-  std::vector<endpoint> heard;
+  std::vector<endpoint> recent_peers;
   /// Upstreams whose weights the sender, as the leader, is changing.
   std::vector<std::string> changing;
   /// What the sender's requests wait for.
@@ -88,7 +88,7 @@
   bool is_watched = false;
   std::vector<member_news> members;
   /// When the sender's items were last known to be complete.
-  std::optional<store_evidence> evidence;
+  std::optional<store_evidence> freshness;
 };
 
 /// Asks for what changed after a revision.
@@ -104,7 +104,7 @@
   std::vector<item_change> items;
 };
 
-using peer_frame = std::variant<beat_frame,
+using peer_frame = std::variant<heartbeat_frame,
                                 items_request_frame,
                                 items_reply_frame,
                                 quota_ask,
--- a/include/cuminswitch/Fleet/peer_roster.h
+++ b/include/cuminswitch/Fleet/peer_roster.h
@@ -57,7 +57,7 @@
 
   void SetListed(std::span<const daemon_entry> daemons);
   /// Returns whether what the peer says of itself changed.
-  bool OnBeat(time_point now, const beat_frame& beat);
+  bool OnHeartbeat(time_point now, const heartbeat_frame& beat);
   /// Whether this daemon beats only some of its peers, so that they pass on
   /// what it tells.
   bool IsPartial() const;
--- a/lib/Fleet/fleet_task.cc
+++ b/lib/Fleet/fleet_task.cc
@@ -120,7 +120,7 @@
                     log_line("peer_frame_malformed").Add("size", bytes.size()));
     return false;
   }
-  if (const auto* beat = std::get_if<beat_frame>(&*frame)) {
+  if (const auto* beat = std::get_if<heartbeat_frame>(&*frame)) {
     OnBeat(*beat);
   } else if (const auto* request = std::get_if<items_request_frame>(&*frame)) {
     OnItemsRequest(*request);
@@ -134,14 +134,14 @@
   return true;
 }
 
-void fleet_task::OnBeat(const beat_frame& beat) {
+void fleet_task::OnBeat(const heartbeat_frame& beat) {
   const time_point now = ReadBootClock();
-  const bool is_news = roster_.OnBeat(now, beat);
-  if (beat.evidence) {
-    staleness_.OnPeer(now, *beat.evidence,
+  const bool is_news = roster_.OnHeartbeat(now, beat);
+  if (beat.freshness) {
+    staleness_.OnPeer(now, *beat.freshness,
                       beat.sender.revision > feed_.view().revision());
   }
-  lapsed_.OnPeer(now, beat.sender.awaits, beat.evidence);
+  lapsed_.OnPeer(now, beat.sender.awaits, beat.freshness);
   if (!beat.changing.empty()) {
     leader_changing_ = beat.changing;
     leader_changing_at_ = now;
@@ -207,8 +207,8 @@
   self.revision = feed_.view().news_revision();
   self.has_store = feed_.IsFresh(now, kStoreFresh);
   self.awaits = lapsed_.Awaits(now);
-  beat_frame beat{.sender = self,
-                  .heard = roster_.SampleAlive(now),
+  heartbeat_frame beat{.sender = self,
+                  .recent_peers = roster_.SampleAlive(now),
                   .changing = {},
                   .backlogs = own_backlogs_,
                   .prefixes = placement_news_.TakeFor(to),
@@ -217,7 +217,7 @@
                   .quarantine = crash_bulletin_.TakeFor(now, to),
                   .is_watched = roster_.IsWatcher(to),
                   .members = roster_.TakeMemberUpdates(now, to),
-                  .evidence = staleness_.Youngest(now)};
+                  .freshness = staleness_.Youngest(now)};
   for (limit_news& item : beat.limits) {
     item.age += now - own_limits_.at;
   }
--- a/lib/Fleet/peer_frame.cc
+++ b/lib/Fleet/peer_frame.cc
@@ -97,7 +97,7 @@
 }
 
 /// Returns whether the news make sense.
-static bool ReadMembers(const fleet_wire::beat& wire, beat_frame& frame) {
+static bool ReadMembers(const fleet_wire::beat& wire, heartbeat_frame& frame) {
   if (wire.members() == nullptr) {
     return true;
   }
@@ -121,7 +121,7 @@
   if (!peer_address || !caller_address) {
     return std::nullopt;
   }
-  beat_frame frame{
+  heartbeat_frame frame{
       .sender = {.name = wire.daemon()->str(),
                  .incarnation = wire.incarnation(),
                  .version = wire.version(),
@@ -136,7 +136,7 @@
                             .left = duration(wire.awaited_for_us()),
                             .revision = wire.awaited_up_to()},
                  .revision = wire.revision()},
-      .heard = {},
+      .recent_peers = {},
       .changing = ReadTexts(wire.changing()),
       .backlogs = {},
       .prefixes = {}};
@@ -187,7 +187,7 @@
     if (!IsAge(wire.store_answer_age_us())) {
       return std::nullopt;
     }
-    frame.evidence = {.witness = wire.store_witness(),
+    frame.freshness = {.witness = wire.store_witness(),
                       .age = duration(wire.store_answer_age_us())};
   }
   if (!ReadQuarantineNews(wire, frame.quarantine) ||
@@ -196,7 +196,7 @@
   }
   for (const std::string& text : ReadTexts(wire.heard())) {
     if (const auto address = ParseEndpoint(text)) {
-      frame.heard.push_back(*address);
+      frame.recent_peers.push_back(*address);
     }
   }
   return frame;
--- a/lib/Fleet/peer_frame_writer.cc
+++ b/lib/Fleet/peer_frame_writer.cc
@@ -40,10 +40,10 @@
 
   fleet_wire::body type() const { return type_; }
 
-  flatbuffers::Offset<void> operator()(const beat_frame& frame) {
+  flatbuffers::Offset<void> operator()(const heartbeat_frame& frame) {
     type_ = fleet_wire::body_beat;
     std::vector<std::string> heard;
-    for (const endpoint& item : frame.heard) {
+    for (const endpoint& item : frame.recent_peers) {
       heard.push_back(item.ToString());
     }
     std::vector<fleet_wire::load> loads;
@@ -83,7 +83,7 @@
         static_cast<float>(frame.mix.short_held),
         static_cast<float>(frame.mix.seconds), frame.mix.keeps_engines);
     const daemon_record& sender = frame.sender;
-    const store_evidence evidence = frame.evidence.value_or(store_evidence());
+    const store_evidence evidence = frame.freshness.value_or(store_evidence());
     return fleet_wire::Createbeat(
                out_, out_.CreateString(sender.name), sender.incarnation,
                out_.CreateString(sender.peer_address.ToString()),
--- a/lib/Fleet/peer_roster.cc
+++ b/lib/Fleet/peer_roster.cc
@@ -43,12 +43,12 @@
   return addresses_.size() > kBeatsPerRound * kMostRoundsInATurn;
 }
 
-bool peer_table::OnBeat(time_point now, const beat_frame& beat) {
+bool peer_table::OnHeartbeat(time_point now, const heartbeat_frame& beat) {
   const daemon_record& sender = beat.sender;
   if (sender.name == options_.self_name) {
     return false;
   }
-  for (const endpoint& address : beat.heard) {
+  for (const endpoint& address : beat.recent_peers) {
     if (address != options_.self_address) {
       addresses_[address].named_at = now;
     }
--- a/unittests/Fleet/peer_frame_test.cc
+++ b/unittests/Fleet/peer_frame_test.cc
@@ -19,7 +19,7 @@
   return {reinterpret_cast<const uint8_t*>(text.data()), text.size()};
 }
 
-beat_frame MakeBeat() {
+heartbeat_frame MakeBeat() {
   return {.sender = {.name = "a",
                      .incarnation = 7,
                      .peer_address = {"10.0.0.1", 1},
@@ -29,7 +29,7 @@
                      .is_ready = true,
                      .has_store = true,
                      .revision = 9},
-          .heard = {{"10.0.0.2", 1}},
+          .recent_peers = {{"10.0.0.2", 1}},
           .changing = {"u"},
           .backlogs = {{.upstream = 3, .tokens = 400}},
           .prefixes = {{.prefix = 5,
@@ -41,7 +41,7 @@
 TEST(peer_frame_test, ABeatComesBack) {
   const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(MakeBeat())));
   ASSERT_TRUE(frame);
-  const auto& beat = std::get<beat_frame>(*frame);
+  const auto& beat = std::get<heartbeat_frame>(*frame);
   EXPECT_EQ(beat.sender.name, "a");
   EXPECT_EQ(beat.sender.incarnation, 7U);
   EXPECT_EQ(beat.sender.caller_address, (endpoint{"10.0.0.1", 2}));
@@ -50,7 +50,7 @@
   EXPECT_FALSE(beat.sender.is_leaving);
   EXPECT_TRUE(beat.sender.has_store);
   EXPECT_EQ(beat.sender.revision, 9U);
-  EXPECT_EQ(beat.heard.size(), 1U);
+  EXPECT_EQ(beat.recent_peers.size(), 1U);
   EXPECT_EQ(beat.changing, std::vector<std::string>{"u"});
   EXPECT_EQ(beat.backlogs[0].tokens, 400U);
   EXPECT_EQ(beat.prefixes[0].prefix, 5U);
@@ -59,22 +59,22 @@
 }
 
 TEST(peer_frame_test, EvidenceOfTheStoreComesBack) {
-  beat_frame beat = MakeBeat();
-  beat.evidence = {.witness = 12, .age = std::chrono::milliseconds(340)};
+  heartbeat_frame beat = MakeBeat();
+  beat.freshness = {.witness = 12, .age = std::chrono::milliseconds(340)};
   const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(beat)));
   ASSERT_TRUE(frame);
-  EXPECT_EQ(std::get<beat_frame>(*frame).evidence, beat.evidence);
+  EXPECT_EQ(std::get<heartbeat_frame>(*frame).freshness, beat.freshness);
   beat.sender.awaits = {
       .event = 4, .left = std::chrono::seconds(2), .revision = 8};
   const auto awaiting = DecodePeerFrame(BytesOf(EncodePeerFrame(beat)));
   ASSERT_TRUE(awaiting);
-  EXPECT_EQ(std::get<beat_frame>(*awaiting).sender.awaits, beat.sender.awaits);
-  beat.evidence->age = -std::chrono::milliseconds(1);
+  EXPECT_EQ(std::get<heartbeat_frame>(*awaiting).sender.awaits, beat.sender.awaits);
+  beat.freshness->age = -std::chrono::milliseconds(1);
   EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(beat))));
-  beat.evidence.reset();
+  beat.freshness.reset();
   const auto without = DecodePeerFrame(BytesOf(EncodePeerFrame(beat)));
   ASSERT_TRUE(without);
-  EXPECT_FALSE(std::get<beat_frame>(*without).evidence);
+  EXPECT_FALSE(std::get<heartbeat_frame>(*without).freshness);
 }
 
 TEST(peer_frame_test, ItemsComeBack) {
@@ -191,12 +191,12 @@
 }
 
 TEST(peer_frame_test, LimitsOfUpstreamsComeBack) {
-  beat_frame beat = MakeBeat();
+  heartbeat_frame beat = MakeBeat();
   beat.limits = {{.upstream = 7, .rate = 1.3, .age = std::chrono::seconds(2)},
                  {.upstream = 8, .has_ended = true}};
   const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(beat)));
   ASSERT_TRUE(frame.has_value());
-  const auto& limits = std::get<beat_frame>(*frame).limits;
+  const auto& limits = std::get<heartbeat_frame>(*frame).limits;
   ASSERT_EQ(limits.size(), 2U);
   EXPECT_EQ(limits[0].upstream, 7U);
   EXPECT_EQ(limits[0].rate, 1.3);
@@ -220,7 +220,7 @@
        {limit_news{.rate = std::nan("")}, limit_news{.rate = -1},
         limit_news{.rate = 1, .age = duration(-1)},
         limit_news{.rate = 1, .age = duration::max()}}) {
-    beat_frame beat = MakeBeat();
+    heartbeat_frame beat = MakeBeat();
     beat.limits = {item};
     EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(beat))).has_value());
   }
@@ -230,7 +230,7 @@
 }
 
 TEST(peer_frame_test, NewsOfCrashingRequestsComeBack) {
-  beat_frame beat = MakeBeat();
+  heartbeat_frame beat = MakeBeat();
   const hash128 request{.high = 1, .low = 2};
   beat.quarantine = {
       .crashes = {{.request = request,
@@ -240,7 +240,7 @@
       .completions = {{.request = request, .age = std::chrono::seconds(6)}}};
   const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(beat)));
   ASSERT_TRUE(frame.has_value());
-  const quarantine_news& news = std::get<beat_frame>(*frame).quarantine;
+  const quarantine_news& news = std::get<heartbeat_frame>(*frame).quarantine;
   ASSERT_EQ(news.crashes.size(), 1U);
   EXPECT_EQ(news.crashes[0].request, request);
   EXPECT_EQ(news.crashes[0].upstream, 3U);
@@ -271,7 +271,7 @@
 }
 
 /// A beat that tells of \p members.
-beat_frame TellsOf(std::vector<member_news> members) {
+heartbeat_frame TellsOf(std::vector<member_news> members) {
   const endpoint address{"10.0.0.1", 7};
   return {.sender = {.name = "a",
                      .peer_address = address,
@@ -280,7 +280,7 @@
           .members = std::move(members)};
 }
 
-std::optional<peer_frame> SendAndReceive(const beat_frame& beat) {
+std::optional<peer_frame> SendAndReceive(const heartbeat_frame& beat) {
   const std::string bytes = EncodePeerFrame(beat);
   return DecodePeerFrame(
       {reinterpret_cast<const uint8_t*>(bytes.data()), bytes.size()});
@@ -300,7 +300,7 @@
       .is_suspected = true};
   const auto frame = SendAndReceive(TellsOf({lives, silent}));
   ASSERT_TRUE(frame.has_value());
-  const auto& beat = std::get<beat_frame>(*frame);
+  const auto& beat = std::get<heartbeat_frame>(*frame);
   EXPECT_TRUE(beat.is_watched);
   ASSERT_EQ(beat.members.size(), 2U);
   EXPECT_EQ(beat.members[0].record.caller_address, lives.record.caller_address);
--- a/unittests/Fleet/peer_roster_test.cc
+++ b/unittests/Fleet/peer_roster_test.cc
@@ -17,13 +17,13 @@
   return {.address = "10.0.0." + std::to_string(number), .port = 1};
 }
 
-beat_frame BeatOf(const std::string& name, int number) {
+heartbeat_frame BeatOf(const std::string& name, int number) {
   return {.sender = {.name = name,
                      .incarnation = 1,
                      .peer_address = Address(number),
                      .caller_address = Address(number),
                      .is_ready = true},
-          .heard = {},
+          .recent_peers = {},
           .changing = {},
           .backlogs = {},
           .prefixes = {}};
@@ -38,7 +38,7 @@
 // Symptom: callers are sent to a host that is gone.
 TEST(peer_table_test, ASilentPeerIsOutWithinASecond) {
   peer_table roster = MakeRoster();
-  EXPECT_TRUE(roster.OnBeat(kStart, BeatOf("a", 2)));
+  EXPECT_TRUE(roster.OnHeartbeat(kStart, BeatOf("a", 2)));
   EXPECT_EQ(roster.ListAlive(kStart).size(), 1U);
   EXPECT_EQ(roster.ListAlive(kStart + std::chrono::milliseconds(700)).size(),
             1U);
@@ -47,11 +47,11 @@
 
 TEST(peer_table_test, TellsNewsFromRepetition) {
   peer_table roster = MakeRoster();
-  EXPECT_TRUE(roster.OnBeat(kStart, BeatOf("a", 2)));
-  EXPECT_FALSE(roster.OnBeat(kStart, BeatOf("a", 2)));
-  beat_frame leaving = BeatOf("a", 2);
+  EXPECT_TRUE(roster.OnHeartbeat(kStart, BeatOf("a", 2)));
+  EXPECT_FALSE(roster.OnHeartbeat(kStart, BeatOf("a", 2)));
+  heartbeat_frame leaving = BeatOf("a", 2);
   leaving.sender.is_leaving = true;
-  EXPECT_TRUE(roster.OnBeat(kStart, leaving));
+  EXPECT_TRUE(roster.OnHeartbeat(kStart, leaving));
 }
 
 // Symptom: a restarted daemon is taken for leaving.
@@ -59,21 +59,21 @@
 // beat of the first start arrives.
 TEST(peer_table_test, ABeatOfAnEarlierStartCountsNothing) {
   peer_table roster = MakeRoster();
-  beat_frame now = BeatOf("a", 2);
+  heartbeat_frame now = BeatOf("a", 2);
   now.sender.incarnation = 2;
-  roster.OnBeat(kStart, now);
-  beat_frame late = BeatOf("a", 2);
+  roster.OnHeartbeat(kStart, now);
+  heartbeat_frame late = BeatOf("a", 2);
   late.sender.is_leaving = true;
-  EXPECT_FALSE(roster.OnBeat(kStart, late));
+  EXPECT_FALSE(roster.OnHeartbeat(kStart, late));
   EXPECT_FALSE(roster.ListAlive(kStart)[0].is_leaving);
 }
 
 TEST(peer_table_test, FindsPeersThroughSeedsAndPeers) {
   peer_table roster = MakeRoster({Address(2)});
   EXPECT_EQ(roster.ChooseTargets(kStart), std::vector{Address(2)});
-  beat_frame beat = BeatOf("b", 2);
-  beat.heard = {Address(1), Address(3)};
-  roster.OnBeat(kStart, beat);
+  heartbeat_frame beat = BeatOf("b", 2);
+  beat.recent_peers = {Address(1), Address(3)};
+  roster.OnHeartbeat(kStart, beat);
   const std::vector<endpoint> targets = roster.ChooseTargets(kStart);
   EXPECT_EQ(std::set<endpoint>(targets.begin(), targets.end()),
             (std::set{Address(2), Address(3)}));
@@ -125,11 +125,11 @@
                         .self_domain = domain_of(self),
                         .seeds = {}});
     for (int i = 0; i < kFollowers + 2; ++i) {
-      beat_frame beat = BeatOf("d" + std::to_string(i), i + 2);
+      heartbeat_frame beat = BeatOf("d" + std::to_string(i), i + 2);
       beat.sender.failure_domain = domain_of(i);
       beat.sender.has_store = i < kFollowers;
       beat.sender.revision = 100 + i;
-      roster.OnBeat(kStart, beat);
+      roster.OnHeartbeat(kStart, beat);
     }
     const daemon_record* ahead = roster.FindAhead(kStart, 5, 0);
     ASSERT_NE(ahead, nullptr);
@@ -148,9 +148,9 @@
 TEST(peer_table_test, AnotherPeerIsAskedNextTime) {
   peer_table roster = MakeRoster();
   for (const char* name : {"a", "b", "c", "d"}) {
-    beat_frame beat = BeatOf(name, 2 + (name[0] - 'a'));
+    heartbeat_frame beat = BeatOf(name, 2 + (name[0] - 'a'));
     beat.sender.revision = 5;
-    roster.OnBeat(kStart, beat);
+    roster.OnHeartbeat(kStart, beat);
   }
   std::set<std::string> asked;
   for (uint64_t turn = 0; turn < 20; ++turn) {
@@ -161,12 +161,12 @@
 
 TEST(peer_table_test, FindsAPeerThatKnowsMore) {
   peer_table roster = MakeRoster();
-  beat_frame a = BeatOf("a", 2);
+  heartbeat_frame a = BeatOf("a", 2);
   a.sender.revision = 5;
-  beat_frame b = BeatOf("b", 3);
+  heartbeat_frame b = BeatOf("b", 3);
   b.sender.revision = 8;
-  roster.OnBeat(kStart, a);
-  roster.OnBeat(kStart, b);
+  roster.OnHeartbeat(kStart, a);
+  roster.OnHeartbeat(kStart, b);
   EXPECT_EQ(roster.FindAhead(kStart, 5, 0)->name, "b");
   EXPECT_EQ(roster.FindAhead(kStart, 8, 0), nullptr);
 }
--- a/unittests/Fleet/roster_fleet.cc
+++ b/unittests/Fleet/roster_fleet.cc
@@ -19,9 +19,9 @@
   for (host& to : hosts_) {
     for (const host& from : hosts_) {
       // Long ago, too: none of them has just started.
-      to.roster->OnBeat(now_ - std::chrono::seconds(30),
+      to.roster->OnHeartbeat(now_ - std::chrono::seconds(30),
                         {.sender = from.record});
-      to.roster->OnBeat(now_, {.sender = from.record});
+      to.roster->OnHeartbeat(now_, {.sender = from.record});
     }
     while (to.roster->TakeMemberUpdates(now_, {}).size() > 1) {
     }
@@ -94,8 +94,8 @@
   }
   const size_t to = found->second;
   host& sender = hosts_[from];
-  beat_frame beat{.sender = sender.record,
-                  .heard = sender.roster->SampleAlive(now_),
+  heartbeat_frame beat{.sender = sender.record,
+                  .recent_peers = sender.roster->SampleAlive(now_),
                   .is_watched = sender.roster->IsWatcher(address),
                   .members = sender.roster->TakeMemberUpdates(now_, address)};
   beat.sender.version = sender.roster->self_version();
@@ -160,7 +160,7 @@
       deliveries_.emplace(now_ + milliseconds(20), item);
       continue;
     }
-    to.roster->OnBeat(now_, item.beat);
+    to.roster->OnHeartbeat(now_, item.beat);
     if (to.roster->MustNotifySuspected(item.beat.sender.peer_address) &&
         to.roster->TryReserveReply(now_, item.beat.sender.peer_address)) {
       Send(item.to, item.beat.sender.peer_address);
--- a/unittests/Fleet/roster_fleet.h
+++ b/unittests/Fleet/roster_fleet.h
@@ -77,7 +77,7 @@
     size_t from = 0;
     size_t to = 0;
     uint64_t incarnation = 0;
-    beat_frame beat;
+    heartbeat_frame beat;
   };
 
   void Start(size_t number, uint64_t incarnation);
--- a/unittests/PlatformAdapter/fleet_growth_test.cc
+++ b/unittests/PlatformAdapter/fleet_growth_test.cc
@@ -87,7 +87,7 @@
       lapsed_.Take(kNow, {.id = entry->id, .revision = 1}, kReturned);
     }
     for (size_t i = 0; i < hosts; ++i) {
-      roster_.OnBeat(kNow, BeatOf(i));
+      roster_.OnHeartbeat(kNow, BeatOf(i));
     }
     roster_.TakeChanged(kNow);
   }
@@ -118,14 +118,14 @@
     router_.ListBacklogs();
   }
   void Beat() {
-    roster_.OnBeat(kNow, BeatOf(3));
+    roster_.OnHeartbeat(kNow, BeatOf(3));
     roster_.SampleAlive(kNow);
   }
   void KeepLapsed() { lapsed_.Expire(kNow, kReturned); }
   void TellNews() { view_.ListNewsSince(view_.news_revision() - 1); }
 
  private:
-  static beat_frame BeatOf(size_t host) {
+  static heartbeat_frame BeatOf(size_t host) {
     const endpoint address{.address = "10.9." + std::to_string(host / 250) +
                                       "." + std::to_string(host % 250),
                            .port = 70};
