--- a/include/cuminswitch/Fleet/crash_bulletin.h
+++ b/include/cuminswitch/Fleet/crash_bulletin.h
@@ -17,7 +17,7 @@
 /// Tells each peer every news once, and what stands now and then: a peer may
 /// have missed news, or have started since. Each beat would otherwise carry the
 /// news of a great crash to all peers, over links that requests need.
-class crash_bulletin {
+class crash_update_queue {
  public:
   void Add(const own_quarantine& own);
   /// Tells on what a peer told, unless it was told on before.
@@ -38,8 +38,8 @@
   /// is told on; returns whether that is new.
   bool NoteRelayed(const hash128& request, uint64_t upstream, time_point at);
 
-  peer_news<dated<crash_news>, kCapacity> crashes_;
-  peer_news<dated<completion_news>, kCapacity> completions_;
+  peer_update_log<dated<crash_news>, kCapacity> crashes_;
+  peer_update_log<dated<completion_news>, kCapacity> completions_;
   /// When what was told on last happened, by request and upstream.
   std::map<std::pair<hash128, uint64_t>, time_point> relayed_;
   std::vector<crash_news> standing_;
--- a/include/cuminswitch/Fleet/fleet_task.h
+++ b/include/cuminswitch/Fleet/fleet_task.h
@@ -128,10 +128,10 @@
   prompt_mix own_mix_;
   own_limits own_limits_;
   std::vector<quarantine_record> quarantined_;
-  crash_bulletin crash_bulletin_;
+  crash_update_queue crash_bulletin_;
   /// A daemon places up to 20 prefixes in a second and reaches each peer of a
   /// fleet that it goes through within 1.5 s, and each partner within 2 s.
-  peer_news<placed_prefix, 256> placement_news_;
+  peer_update_log<placed_prefix, 256> placement_news_;
   std::vector<std::string> leader_changing_;
   std::vector<std::string> published_changing_;
   time_point leader_changing_at_{};
--- a/include/cuminswitch/Fleet/member_bulletin.h
+++ b/include/cuminswitch/Fleet/member_bulletin.h
@@ -18,15 +18,15 @@
 /// times. Each daemon that learns something tells others of it, so that news
 /// reach a fleet of any size within a few rounds of beats, at a cost that does
 /// not depend on the size.
-class member_bulletin {
+class member_update_queue {
  public:
   /// Times that one daemon tells of a member that serves. With sixteen, one
   /// daemon in nine million hears nothing of it at first, and is told in turn.
-  static constexpr size_t kTellings = 16;
+  static constexpr size_t kSendCount = 16;
   /// Times that one daemon tells of a member that is suspected or leaves.
   /// Callers must not be sent there. Half of those that are told may have died
   /// with it.
-  static constexpr size_t kDepartureTellings = 24;
+  static constexpr size_t kDepartureSendCount = 24;
 
   /// Takes in \p news in place of what is kept of that member.
   void Add(const member_news& news);
--- a/include/cuminswitch/Fleet/peer_news.h
+++ b/include/cuminswitch/Fleet/peer_news.h
@@ -19,7 +19,7 @@
 /// latest round's news in each beat, a peer would learn one in four. Keeps, and
 /// so tells in one frame, at most \p Capacity.
 template <class Item, size_t Capacity>
-class peer_news {
+class peer_update_log {
  public:
   static constexpr size_t kCapacity = Capacity;
 
--- a/include/cuminswitch/Fleet/peer_roster.h
+++ b/include/cuminswitch/Fleet/peer_roster.h
@@ -199,7 +199,7 @@
   options options_;
   std::map<std::string, peer> peers_;
   address_map addresses_;
-  member_bulletin bulletin_;
+  member_update_queue bulletin_;
   uint32_t self_version_ = 0;
   /// Those that may not know that they are suspected, by their addresses.
   std::map<endpoint, std::string> to_hear_suspicion_;
--- a/lib/Fleet/crash_bulletin.cc
+++ b/lib/Fleet/crash_bulletin.cc
@@ -12,7 +12,7 @@
 /// Two news of one request and upstream that are closer are one.
 static constexpr duration kSameTime = std::chrono::seconds(1);
 
-void crash_bulletin::Add(const own_quarantine& own) {
+void crash_update_queue::Add(const own_quarantine& own) {
   std::vector<dated<crash_news>> crashes;
   for (const crash_news& item : own.news.crashes) {
     crashes.push_back({.news = item, .at = own.at});
@@ -27,7 +27,7 @@
   standing_at_ = own.at;
 }
 
-bool crash_bulletin::NoteRelayed(const hash128& request,
+bool crash_update_queue::NoteRelayed(const hash128& request,
                                  uint64_t upstream,
                                  time_point at) {
   if (relayed_.size() >= kMostRelayed) {
@@ -52,7 +52,7 @@
   return true;
 }
 
-void crash_bulletin::Relay(time_point now, const quarantine_news& told) {
+void crash_update_queue::Relay(time_point now, const quarantine_news& told) {
   std::vector<dated<crash_news>> crashes;
   for (const crash_news& item : told.crashes) {
     if (NoteRelayed(item.request, item.upstream, now - item.age)) {
@@ -69,7 +69,7 @@
   completions_.Add(completions);
 }
 
-quarantine_news crash_bulletin::TakeFor(time_point now, const endpoint& peer) {
+quarantine_news crash_update_queue::TakeFor(time_point now, const endpoint& peer) {
   quarantine_news news;
   for (dated<crash_news>& item : crashes_.TakeFor(peer)) {
     item.news.age += now - item.at;
--- a/lib/Fleet/member_bulletin.cc
+++ b/lib/Fleet/member_bulletin.cc
@@ -2,7 +2,7 @@
 
 namespace cuminswitch {
 
-void member_bulletin::Add(const member_news& news) {
+void member_update_queue::Add(const member_news& news) {
   const std::string& name = news.record.name;
   kept_news& kept = kept_[name];
   order_.erase({kept.tellings, name});
@@ -10,7 +10,7 @@
   order_.emplace(0, name);
 }
 
-std::vector<member_news> member_bulletin::Take(size_t count) {
+std::vector<member_news> member_update_queue::Take(size_t count) {
   std::vector<std::pair<size_t, std::string>> chosen;
   for (const auto& item : order_) {
     if (chosen.size() >= count) {
@@ -25,8 +25,8 @@
     order_.erase(item);
     const member_news& told = found->second.news;
     const size_t most = told.is_suspected || told.record.is_leaving
-                            ? kDepartureTellings
-                            : kTellings;
+                            ? kDepartureSendCount
+                            : kSendCount;
     if (++found->second.tellings < most) {
       order_.emplace(found->second.tellings, item.second);
     } else {
--- a/unittests/Fleet/crash_bulletin_test.cc
+++ b/unittests/Fleet/crash_bulletin_test.cc
@@ -15,8 +15,8 @@
                             .upstream = 2,
                             .age = seconds(1)};
 
-TEST(crash_bulletin_test, EachPeerIsToldOnceWithTheAgeAtThatTime) {
-  crash_bulletin bulletin;
+TEST(crash_update_queue_test, EachPeerIsToldOnceWithTheAgeAtThatTime) {
+  crash_update_queue bulletin;
   bulletin.Add({.news = {.crashes = {kCrash}, .completions = {}}, .at = kNow});
   const auto told = bulletin.TakeFor(kNow + seconds(2), kPeer);
   ASSERT_EQ(told.crashes.size(), 1U);
@@ -27,8 +27,8 @@
 }
 
 // A peer may have missed the news, or have started since.
-TEST(crash_bulletin_test, WhatStandsIsToldAgainNowAndThen) {
-  crash_bulletin bulletin;
+TEST(crash_update_queue_test, WhatStandsIsToldAgainNowAndThen) {
+  crash_update_queue bulletin;
   bulletin.Add({.news = {}, .standing = {kCrash}, .at = kNow});
   EXPECT_EQ(bulletin.TakeFor(kNow, kPeer).crashes.size(), 1U);
   EXPECT_TRUE(bulletin.TakeFor(kNow + seconds(1), kPeer).IsEmpty());
@@ -41,14 +41,14 @@
 
 // In a fleet where a daemon beats only some of its peers the others never learn
 // of a crash, and run the request on their own upstreams.
-TEST(crash_bulletin_test, WhatAPeerToldIsToldOnOnce) {
+TEST(crash_update_queue_test, WhatAPeerToldIsToldOnOnce) {
   const endpoint peer{"10.0.0.7", 7};
   const time_point now{std::chrono::seconds(100)};
   const quarantine_news told{
       .crashes = {{.request = {.high = 1, .low = 2},
                    .upstream = 3,
                    .age = std::chrono::milliseconds(400)}}};
-  crash_bulletin bulletin;
+  crash_update_queue bulletin;
   bulletin.Relay(now, told);
   const duration later = std::chrono::milliseconds(100);
   const quarantine_news passed = bulletin.TakeFor(now + later, peer);
--- a/unittests/Fleet/peer_news_test.cc
+++ b/unittests/Fleet/peer_news_test.cc
@@ -10,7 +10,7 @@
 namespace cuminswitch {
 namespace {
 
-using placement_news = peer_news<placed_prefix, 256>;
+using placement_news = peer_update_log<placed_prefix, 256>;
 
 endpoint Peer(int number) {
   return {.address = "10.0.0." + std::to_string(number), .port = 1};
@@ -30,7 +30,7 @@
 // Sequence: a prefix is placed and saved; the beats of that round go to 16
 // peers; the other peers' beats come in later rounds.
 // Cause: beats carried the placements of their own round only.
-TEST(peer_news_test, APeerWhoseTurnComesLaterIsToldAll) {
+TEST(peer_update_log_test, APeerWhoseTurnComesLaterIsToldAll) {
   placement_news news;
   news.Add(Placed(1, 2));
   EXPECT_EQ(news.TakeFor(Peer(1)).size(), 2U);
@@ -39,14 +39,14 @@
   EXPECT_EQ(news.TakeFor(Peer(2)).size(), 3U);
 }
 
-TEST(peer_news_test, NothingIsToldTwice) {
+TEST(peer_update_log_test, NothingIsToldTwice) {
   placement_news news;
   news.Add(Placed(1, 2));
   news.TakeFor(Peer(1));
   EXPECT_TRUE(news.TakeFor(Peer(1)).empty());
 }
 
-TEST(peer_news_test, AFrameStaysBounded) {
+TEST(peer_update_log_test, AFrameStaysBounded) {
   placement_news news;
   news.TakeFor(Peer(1));
   for (uint64_t round = 0; round < 10; ++round) {
