--- a/include/cuminswitch/Edge/edge_task.h
+++ b/include/cuminswitch/Edge/edge_task.h
@@ -101,7 +101,7 @@
   void TakeRest(const request_flow& flow, const rest_notice& notice);
   /// Takes in that an upstream leaves.
   void TakeLeaving(const request_flow& flow);
-  void Take(const knowledge_changed& news);
+  void Take(const fleet_snapshot_changed& news);
   void Take(const upstreams_changed& news);
   /// Brings the plan and the newest weights into force.
   void ApplyPlan(time_point now, action_list& actions);
@@ -177,7 +177,7 @@
   std::unique_ptr<caller_server> server_;
   loop_timer tick_timer_;
   loop_timer stop_timer_;
-  std::shared_ptr<const fleet_knowledge> knowledge_;
+  std::shared_ptr<const fleet_snapshot> knowledge_;
   std::map<endpoint, upstream_ref> upstreams_by_address_;
   weights_census held_weights_;
   size_t unreadable_upstreams_ = 0;
--- a/include/cuminswitch/Edge/plan_translator.h
+++ b/include/cuminswitch/Edge/plan_translator.h
@@ -26,7 +26,7 @@
 /// \p held says upstreams have: that an upstream has one only shows that its
 /// naming is known there and not yet here.
 std::shared_ptr<const configuration> TranslatePlan(
-    const fleet_knowledge& knowledge,
+    const fleet_snapshot& knowledge,
     const weights_census& held);
 
 /// The upstream as the router knows it; its report is what the router would
--- a/include/cuminswitch/Fleet/fleet_knowledge.h
+++ b/include/cuminswitch/Fleet/fleet_knowledge.h
@@ -65,7 +65,7 @@
 };
 
 /// What is known besides the upstreams. Immutable once published.
-struct fleet_knowledge {
+struct fleet_snapshot {
   /// Null until a configuration is known.
   std::shared_ptr<const route_plan> plan;
   std::vector<weights_version> wanted_weights;
@@ -80,7 +80,7 @@
 /// What changed items say that was not known before.
 struct decoded_items {
   /// Null where all of it is as it was.
-  std::shared_ptr<const fleet_knowledge> knowledge;
+  std::shared_ptr<const fleet_snapshot> knowledge;
   std::vector<upstream_news> upstreams;
   /// The keys that said so.
   std::vector<std::string> news;
@@ -88,9 +88,9 @@
 
 /// Turns stored items into knowledge. It keeps what it decoded, and visits only
 /// what changed.
-class knowledge_decoder {
+class fleet_snapshot_decoder {
  public:
-  virtual ~knowledge_decoder() = default;
+  virtual ~fleet_snapshot_decoder() = default;
   /// Takes in the items under \p keys as \p view has them; those that it lacks
   /// are forgotten.
   virtual decoded_items Decode(const item_view& view,
--- a/include/cuminswitch/Fleet/fleet_message.h
+++ b/include/cuminswitch/Fleet/fleet_message.h
@@ -55,8 +55,8 @@
                                    quota_send>;
 
 /// What is known of the deployment changed.
-struct knowledge_changed {
-  std::shared_ptr<const fleet_knowledge> knowledge;
+struct fleet_snapshot_changed {
+  std::shared_ptr<const fleet_snapshot> knowledge;
 };
 /// Some of the upstreams in use changed.
 struct upstreams_changed {
@@ -95,7 +95,7 @@
 struct weights_changing {
   std::vector<std::string> upstreams;
 };
-using fleet_news = std::variant<knowledge_changed,
+using fleet_news = std::variant<fleet_snapshot_changed,
                                 upstreams_changed,
                                 peers_changed,
                                 weights_changing,
--- a/include/cuminswitch/Fleet/fleet_task.h
+++ b/include/cuminswitch/Fleet/fleet_task.h
@@ -52,7 +52,7 @@
   /// What the task works with; all of it outlives the task.
   struct parts {
     item_store& store;
-    knowledge_decoder& decoder;
+    fleet_snapshot_decoder& decoder;
     engine_control& engines;
     event_log& log;
   };
@@ -77,7 +77,7 @@
 
   void OnTick();
   void OnItemsChanged(std::span<const std::string> keys);
-  void Publish(std::shared_ptr<const fleet_knowledge> next);
+  void Publish(std::shared_ptr<const fleet_snapshot> next);
   void PublishUpstreams();
   void DecideFollowing(time_point now);
   void RegisterSelf();
@@ -122,7 +122,7 @@
   std::unique_ptr<peer_transport> transport_;
   loop_timer beat_timer_;
   loop_timer rollout_timer_;
-  std::shared_ptr<const fleet_knowledge> knowledge_;
+  std::shared_ptr<const fleet_snapshot> knowledge_;
   upstream_directory upstreams_;
   std::vector<upstream_backlog> own_backlogs_;
   prompt_mix own_mix_;
--- a/lib/Edge/edge_knowledge.cc
+++ b/lib/Edge/edge_knowledge.cc
@@ -73,7 +73,7 @@
   }
 }
 
-void edge_task::Take(const knowledge_changed& news) {
+void edge_task::Take(const fleet_snapshot_changed& news) {
   const bool was_ready = IsReady();
   const bool has_same_plan =
       knowledge_ != nullptr && knowledge_->plan == news.knowledge->plan &&
--- a/lib/Edge/plan_translator.cc
+++ b/lib/Edge/plan_translator.cc
@@ -31,7 +31,7 @@
 }
 
 /// The newest version of \p model, as text; empty where none is known.
-static std::string NewestVersion(const fleet_knowledge& knowledge,
+static std::string NewestVersion(const fleet_snapshot& knowledge,
                                  const weights_census& held,
                                  std::string_view model) {
   uint64_t newest = held.Newest(model);
@@ -78,7 +78,7 @@
 }
 
 std::shared_ptr<const configuration> TranslatePlan(
-    const fleet_knowledge& knowledge,
+    const fleet_snapshot& knowledge,
     const weights_census& held) {
   auto config = std::make_shared<configuration>();
   std::vector<std::string> targets;
--- a/lib/Fleet/fleet_publishing.cc
+++ b/lib/Fleet/fleet_publishing.cc
@@ -99,7 +99,7 @@
   }
 }
 
-static void LogKnowledge(event_log& log, const fleet_knowledge& knowledge) {
+static void LogKnowledge(event_log& log, const fleet_snapshot& knowledge) {
   std::string weights;
   for (const weights_version& item : knowledge.wanted_weights) {
     weights += (weights.empty() ? "" : " ") + item.model + "=" +
@@ -194,7 +194,7 @@
                               .revision = feed_.view().revision()});
 }
 
-void fleet_task::Publish(std::shared_ptr<const fleet_knowledge> next) {
+void fleet_task::Publish(std::shared_ptr<const fleet_snapshot> next) {
   const bool is_new_plan = knowledge_ == nullptr ||
                            knowledge_->plan != next->plan ||
                            knowledge_->wanted_weights != next->wanted_weights;
@@ -213,7 +213,7 @@
     LogKnowledge(with_.log, *next);
   }
   services_.FindPort<fleet_news>(kEdgeService)
-      .Post(knowledge_changed{.knowledge = std::move(next)});
+      .Post(fleet_snapshot_changed{.knowledge = std::move(next)});
   RunRollout(ReadBootClock());
   if (is_new_plan) {
     // Peers that the store turns away learn it from here.
--- a/unittests/PlatformAdapter/document_decoder_test.cc
+++ b/unittests/PlatformAdapter/document_decoder_test.cc
@@ -52,7 +52,7 @@
   }
 
   /// All that is known, put together from what the decoder told.
-  struct all_known : fleet_knowledge {
+  struct all_known : fleet_snapshot {
     std::vector<upstream_entry> upstreams;
     std::vector<std::string> unreadable_upstreams;
   };
@@ -65,7 +65,7 @@
       return nullptr;
     }
     if (decoded.knowledge != nullptr) {
-      static_cast<fleet_knowledge&>(known_) = *decoded.knowledge;
+      static_cast<fleet_snapshot&>(known_) = *decoded.knowledge;
     }
     for (const upstream_news& news : decoded.upstreams) {
       std::erase_if(known_.upstreams, [&](const upstream_entry& entry) {
