--- a/include/cuminswitch/Admission/even_quota_policy.h
+++ b/include/cuminswitch/Admission/even_quota_policy.h
@@ -31,9 +31,9 @@
   void SetFleet(time_point now, const quota_fleet_view& fleet) override;
   void Admit(time_point now, const quota_request& item) override;
   void Charge(time_point now, const quota_request& item) override;
-  void OnAsk(time_point /*now*/, const quota_ask& /*ask*/) override {}
-  void OnVerdict(time_point /*now*/,
-                 const quota_verdict& /*verdict*/) override {}
+  void OnQuery(time_point /*now*/, const quota_query& /*ask*/) override {}
+  void OnReply(time_point /*now*/,
+                 const quota_reply& /*verdict*/) override {}
   void OnTick(time_point now) override;
 
  private:
--- a/include/cuminswitch/Admission/owner_quota_policy.h
+++ b/include/cuminswitch/Admission/owner_quota_policy.h
@@ -72,8 +72,8 @@
   void SetFleet(time_point now, const quota_fleet_view& fleet) override;
   void Admit(time_point now, const quota_request& item) override;
   void Charge(time_point now, const quota_request& item) override;
-  void OnAsk(time_point now, const quota_ask& ask) override;
-  void OnVerdict(time_point now, const quota_verdict& verdict) override;
+  void OnQuery(time_point now, const quota_query& ask) override;
+  void OnReply(time_point now, const quota_reply& verdict) override;
   void OnTick(time_point now) override;
 
  private:
@@ -114,16 +114,16 @@
   double PartAsOwner(time_point now, uint64_t subject) const;
   /// The least part of the fleet that was seen of late.
   double SeenPart(time_point now) const;
-  quota_ask MakeAsk(time_point now, const quota_request& item) const;
+  quota_query MakeAsk(time_point now, const quota_request& item) const;
   /// Reports \p weight units of \p item's subject, and asks nothing.
-  quota_ask MakeReport(time_point now,
+  quota_query MakeReport(time_point now,
                        const quota_request& item,
                        double weight) const;
   void Send(time_point now, pending asked);
   void DecideHere(time_point now, const quota_request& item);
   /// Nobody answers.
   void DecideAlone(time_point now, const quota_request& item);
-  void Note(time_point now, uint64_t subject, const quota_verdict& verdict);
+  void Note(time_point now, uint64_t subject, const quota_reply& verdict);
   /// Tells an owner that answers what was taken without one.
   void ReportTaken(time_point now,
                    const quota_request& item,
--- a/include/cuminswitch/Admission/quota_bucket.h
+++ b/include/cuminswitch/Admission/quota_bucket.h
@@ -31,7 +31,7 @@
     uint64_t digest = 0;
     /// The longest wait after which its caller would come back. Nothing is
     /// promised beyond it.
-    duration patience{0};
+    duration max_wait{0};
   };
   struct decision {
     bool is_admitted = false;
--- a/include/cuminswitch/Admission/quota_owner.h
+++ b/include/cuminswitch/Admission/quota_owner.h
@@ -24,7 +24,7 @@
 
   /// Decides about a question, or takes a report in. \p share is the part of
   /// the limit that this daemon gives out.
-  quota_verdict OnAsk(time_point now, const quota_ask& ask, double share);
+  quota_reply OnQuery(time_point now, const quota_query& ask, double share);
   /// The daemons that asked about \p subject of late.
   size_t CountAskers(time_point now, uint64_t subject) const;
   /// Whether somebody was answered by another owner since \p since.
@@ -43,7 +43,7 @@
     time_point other_at{};
   };
 
-  owned_quota& Find(time_point now, const quota_ask& ask, double share);
+  owned_quota& Find(time_point now, const quota_query& ask, double share);
 
   uint64_t id_;
   std::unordered_map<uint64_t, owned_quota> owned_;
--- a/include/cuminswitch/Admission/quota_policy.h
+++ b/include/cuminswitch/Admission/quota_policy.h
@@ -29,7 +29,7 @@
   /// Of what it is; a repeat has the same one.
   uint64_t digest = 0;
   /// The longest wait after which its caller would come back.
-  duration patience{0};
+  duration max_wait{0};
 };
 
 /// Who decided about a request.
@@ -85,21 +85,21 @@
   virtual void Admit(time_point now, const quota_request& item) = 0;
   /// Reports that an admitted request used more, or, below 0, less.
   virtual void Charge(time_point now, const quota_request& item) = 0;
-  virtual void OnAsk(time_point now, const quota_ask& ask) = 0;
-  virtual void OnVerdict(time_point now, const quota_verdict& verdict) = 0;
+  virtual void OnQuery(time_point now, const quota_query& ask) = 0;
+  virtual void OnReply(time_point now, const quota_reply& verdict) = 0;
   /// Called some times a second.
   virtual void OnTick(time_point now) = 0;
 
   std::vector<quota_decision> TakeDecisions() {
     return std::exchange(decisions_, {});
   }
-  std::vector<quota_send> TakeMessages() {
+  std::vector<outgoing_quota_message> TakeMessages() {
     return std::exchange(messages_, {});
   }
 
  protected:
   std::vector<quota_decision> decisions_;
-  std::vector<quota_send> messages_;
+  std::vector<outgoing_quota_message> messages_;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Edge/edge_protocol.h
+++ b/include/cuminswitch/Edge/edge_protocol.h
@@ -31,7 +31,7 @@
   std::string path;
   std::string credential;
   /// How long the caller will wait; nothing when it does not say.
-  std::optional<duration> patience;
+  std::optional<duration> max_wait;
   std::string model;
   std::vector<prompt_part> parts;
   uint32_t prompt_tokens = 0;
--- a/include/cuminswitch/Edge/edge_task.h
+++ b/include/cuminswitch/Edge/edge_task.h
@@ -118,8 +118,8 @@
   void Take(const peer_placements& news);
   void Take(const peer_limits& news);
   void Take(const peer_quarantine& news);
-  void Take(const quota_ask& ask);
-  void Take(const quota_verdict& verdict);
+  void Take(const quota_query& ask);
+  void Take(const quota_reply& verdict);
   /// Lets the peers know what this daemon's requests wait for.
   void TellPlacements();
 
@@ -151,7 +151,7 @@
   /// Asks about the requests that wait for an upstream with a limit, and
   /// carries out what is decided.
   void SettleLimits(time_point now);
-  void TakeLimitAsk(time_point now, quota_ask ask);
+  void TakeLimitAsk(time_point now, quota_query ask);
   void SettleLimit(time_point now, const limit_gate::decided_question& decided);
   /// Lets the peers know what upstreams told this daemon.
   void TellLimits(time_point now);
--- a/include/cuminswitch/Fleet/fleet_message.h
+++ b/include/cuminswitch/Fleet/fleet_message.h
@@ -52,7 +52,7 @@
                                    own_placements,
                                    own_limits,
                                    own_quarantine,
-                                   quota_send>;
+                                   outgoing_quota_message>;
 
 /// What is known of the deployment changed.
 struct fleet_snapshot_changed {
@@ -103,8 +103,8 @@
                                 peer_placements,
                                 peer_limits,
                                 peer_quarantine,
-                                quota_ask,
-                                quota_verdict>;
+                                quota_query,
+                                quota_reply>;
 
 /// The names of the services, for the kernel's registry.
 inline constexpr std::string_view kFleetService = "fleet";
--- a/include/cuminswitch/Fleet/peer_frame.h
+++ b/include/cuminswitch/Fleet/peer_frame.h
@@ -107,8 +107,8 @@
 using peer_frame = std::variant<heartbeat_frame,
                                 items_request_frame,
                                 items_reply_frame,
-                                quota_ask,
-                                quota_verdict>;
+                                quota_query,
+                                quota_reply>;
 
 std::string EncodePeerFrame(const peer_frame& frame);
 /// Returns nothing for bytes that are no frame.
--- a/include/cuminswitch/Protocol/quota_message.h
+++ b/include/cuminswitch/Protocol/quota_message.h
@@ -45,7 +45,7 @@
 };
 
 /// Asks a subject's owner whether a request may be sent on.
-struct quota_ask {
+struct quota_query {
   /// Where the answer goes.
   endpoint from;
   /// Names the question at its sender; 0 where no answer is wanted, because
@@ -62,16 +62,16 @@
   /// Of what the request is, so that its repeat is known for it.
   uint64_t digest = 0;
   /// The longest wait after which its caller would come back.
-  duration patience{0};
+  duration max_wait{0};
   /// Whoever gets it decides; otherwise it may hand it on to whom it takes for
   /// the owner.
   bool is_final = false;
   /// What the sender last heard of the subject.
-  std::optional<quota_level> told;
+  std::optional<quota_level> last_level;
 };
 
-/// Answers a `quota_ask`.
-struct quota_verdict {
+/// Answers a `quota_query`.
+struct quota_reply {
   quota_kind kind = quota_kind::kWorkspace;
   uint64_t ticket = 0;
   bool is_admitted = false;
@@ -86,9 +86,9 @@
 };
 
 /// A question, or an answer, for another daemon.
-struct quota_send {
+struct outgoing_quota_message {
   endpoint to;
-  std::variant<quota_ask, quota_verdict> message;
+  std::variant<quota_query, quota_reply> message;
 };
 
 }  // namespace cuminswitch
--- a/lib/Admission/even_quota_policy.cc
+++ b/lib/Admission/even_quota_policy.cc
@@ -46,7 +46,7 @@
   const quota_bucket::decision decided =
       own.bucket.Decide(now, {.weight = item.weight,
                               .digest = item.digest,
-                              .patience = item.patience});
+                              .max_wait = item.max_wait});
   decisions_.push_back({.ticket = item.ticket,
                         .is_admitted = decided.is_admitted,
                         .retry_after = decided.retry_after,
--- a/lib/Admission/owner_quota_policy.cc
+++ b/lib/Admission/owner_quota_policy.cc
@@ -157,9 +157,9 @@
                            static_cast<double>(known_));
 }
 
-quota_ask owner_quota_policy::MakeAsk(time_point now,
+quota_query owner_quota_policy::MakeAsk(time_point now,
                                       const quota_request& item) const {
-  quota_ask ask{.from = self_.address,
+  quota_query ask{.from = self_.address,
                 .ticket = item.ticket,
                 .kind = kind_,
                 .subject = item.subject,
@@ -167,20 +167,20 @@
                 .limit_age = item.limit_age,
                 .weight = item.weight,
                 .digest = item.digest,
-                .patience = item.patience,
-                .told = std::nullopt};
+                .max_wait = item.max_wait,
+                .last_level = std::nullopt};
   if (const auto told = told_.find(item.subject); told != told_.end()) {
-    ask.told = quota_level{.owner = told->second.owner,
+    ask.last_level = quota_level{.owner = told->second.owner,
                            .level = told->second.level,
                            .age = now - told->second.at};
   }
   return ask;
 }
 
-quota_ask owner_quota_policy::MakeReport(time_point now,
+quota_query owner_quota_policy::MakeReport(time_point now,
                                          const quota_request& item,
                                          double weight) const {
-  quota_ask report = MakeAsk(now, item);
+  quota_query report = MakeAsk(now, item);
   report.ticket = 0;
   report.weight = weight;
   return report;
@@ -188,16 +188,16 @@
 
 void owner_quota_policy::Note(time_point now,
                               uint64_t subject,
-                              const quota_verdict& verdict) {
+                              const quota_reply& verdict) {
   told_[subject] = {.owner = verdict.owner, .level = verdict.level, .at = now};
 }
 
 void owner_quota_policy::DecideHere(time_point now, const quota_request& item) {
   const double share = Share(now, item.subject);
   if (const auto taken = unreported_.extract(item.subject)) {
-    owner_.OnAsk(now, MakeReport(now, item, taken.mapped()), share);
+    owner_.OnQuery(now, MakeReport(now, item, taken.mapped()), share);
   }
-  const quota_verdict verdict = owner_.OnAsk(now, MakeAsk(now, item), share);
+  const quota_reply verdict = owner_.OnQuery(now, MakeAsk(now, item), share);
   Note(now, item.subject, verdict);
   decisions_.push_back({.ticket = item.ticket,
                         .is_admitted = verdict.is_admitted,
@@ -249,7 +249,7 @@
   asked.asked = owner;
   asked.asked_at = now;
   ++asked.attempts;
-  quota_ask ask = MakeAsk(now, asked.item);
+  quota_query ask = MakeAsk(now, asked.item);
   ask.is_final = asked.attempts > 1;
   messages_.push_back({.to = owner, .message = std::move(ask)});
   const uint64_t ticket = asked.item.ticket;
@@ -262,9 +262,9 @@
 
 void owner_quota_policy::Charge(time_point now, const quota_request& item) {
   const endpoint& owner = FindOwner(now, item.subject);
-  const quota_ask ask = MakeReport(now, item, item.weight);
+  const quota_query ask = MakeReport(now, item, item.weight);
   if (owner == self_.address) {
-    owner_.OnAsk(now, ask, Share(now, item.subject));
+    owner_.OnQuery(now, ask, Share(now, item.subject));
     return;
   }
   messages_.push_back({.to = owner, .message = ask});
@@ -277,30 +277,30 @@
   if (found == unreported_.end()) {
     return;
   }
-  quota_ask ask = MakeReport(now, item, found->second);
+  quota_query ask = MakeReport(now, item, found->second);
   unreported_.erase(found);
   ask.is_final = true;
   messages_.push_back({.to = owner, .message = std::move(ask)});
 }
 
-void owner_quota_policy::OnAsk(time_point now, const quota_ask& ask) {
+void owner_quota_policy::OnQuery(time_point now, const quota_query& ask) {
   if (!ask.is_final) {
     if (const endpoint& owner = FindOwner(now, ask.subject);
         owner != self_.address) {
-      quota_ask handed_on = ask;
+      quota_query handed_on = ask;
       handed_on.is_final = true;
       messages_.push_back({.to = owner, .message = std::move(handed_on)});
       return;
     }
   }
-  const quota_verdict verdict = owner_.OnAsk(now, ask, Share(now, ask.subject));
+  const quota_reply verdict = owner_.OnQuery(now, ask, Share(now, ask.subject));
   if (ask.ticket != 0) {
     messages_.push_back({.to = ask.from, .message = verdict});
   }
 }
 
-void owner_quota_policy::OnVerdict(time_point now,
-                                   const quota_verdict& verdict) {
+void owner_quota_policy::OnReply(time_point now,
+                                   const quota_reply& verdict) {
   const auto found = pending_.find(verdict.ticket);
   if (found == pending_.end()) {
     // Its request was decided without it.
--- a/lib/Admission/quota_bucket.cc
+++ b/lib/Admission/quota_bucket.cc
@@ -102,7 +102,7 @@
   const double missing = Kept() - level_;
   const duration wait = std::clamp(FromSeconds(missing / rate_),
                                    kLeastRetryAfter, kMostRetryAfter);
-  if (wait <= item.patience && promises_.size() < kMaxPromises) {
+  if (wait <= item.max_wait && promises_.size() < kMaxPromises) {
     promises_.push_back(
         {.digest = item.digest, .weight = item.weight, .due = now + wait});
     promised_ += item.weight;
--- a/lib/Admission/quota_owner.cc
+++ b/lib/Admission/quota_owner.cc
@@ -16,14 +16,14 @@
 static constexpr duration kForgetAfter = std::chrono::seconds(60);
 
 quota_owner::owned_quota& quota_owner::Find(time_point now,
-                                            const quota_ask& ask,
+                                            const quota_query& ask,
                                             double share) {
   const auto found = owned_.find(ask.subject);
   if (found != owned_.end()) {
     return found->second;
   }
   const double start =
-      ask.told ? ask.limit.burst * share
+      ask.last_level ? ask.limit.burst * share
                : std::min(ask.limit.burst,
                           ask.limit.rate * ToSeconds(kUnknownPast)) *
                      share;
@@ -35,8 +35,8 @@
       .first->second;
 }
 
-quota_verdict quota_owner::OnAsk(time_point now,
-                                 const quota_ask& ask,
+quota_reply quota_owner::OnQuery(time_point now,
+                                 const quota_query& ask,
                                  double share) {
   owned_quota& quota = Find(now, ask, share);
   quota.asked_at = now;
@@ -46,13 +46,13 @@
   }
   quota_bucket& bucket = quota.bucket;
   bucket.SetLimit(now, quota.limit.rate * share, quota.limit.burst * share);
-  if (ask.told && ask.told->owner != id_) {
-    quota.other_at = std::max(quota.other_at, now - ask.told->age);
+  if (ask.last_level && ask.last_level->owner != id_) {
+    quota.other_at = std::max(quota.other_at, now - ask.last_level->age);
     // What the owner before had left, and what came since at most.
-    bucket.LowerTo(now, ask.told->level + quota.limit.rate * share *
-                                              ToSeconds(ask.told->age));
+    bucket.LowerTo(now, ask.last_level->level + quota.limit.rate * share *
+                                              ToSeconds(ask.last_level->age));
   }
-  quota_verdict verdict{
+  quota_reply verdict{
       .kind = ask.kind, .ticket = ask.ticket, .owner = id_, .share = share};
   if (ask.ticket == 0) {
     bucket.Charge(now, ask.weight);
@@ -60,7 +60,7 @@
   } else {
     const quota_bucket::decision decided = bucket.Decide(
         now,
-        {.weight = ask.weight, .digest = ask.digest, .patience = ask.patience});
+        {.weight = ask.weight, .digest = ask.digest, .max_wait = ask.max_wait});
     verdict.is_admitted = decided.is_admitted;
     verdict.retry_after = decided.retry_after;
   }
--- a/lib/Edge/edge_arrivals.cc
+++ b/lib/Edge/edge_arrivals.cc
@@ -21,7 +21,7 @@
 
 static duration PatienceOf(const caller_request& request,
                            const route_spec& route) {
-  return std::min<duration>(request.patience.value_or(kDefaultPatience),
+  return std::min<duration>(request.max_wait.value_or(kDefaultPatience),
                             route.timeout);
 }
 
--- a/lib/Edge/edge_limits.cc
+++ b/lib/Edge/edge_limits.cc
@@ -66,7 +66,7 @@
   }
 }
 
-void edge_task::TakeLimitAsk(time_point now, quota_ask ask) {
+void edge_task::TakeLimitAsk(time_point now, quota_query ask) {
   // Of the two, the younger news counts: a daemon that has not heard yet that a
   // limit was lowered would raise it for all.
   LogLimit(router_.OnPeerLimit(now, {.upstream = ask.subject,
@@ -76,7 +76,7 @@
   if (const auto rate = router_.limits().Find(ask.subject)) {
     ask.limit = QuotaOfLimit(*rate);
   }
-  limits_.policy().OnAsk(now, ask);
+  limits_.policy().OnQuery(now, ask);
   SettleLimits(now);
 }
 
--- a/lib/Edge/edge_quotas.cc
+++ b/lib/Edge/edge_quotas.cc
@@ -38,29 +38,29 @@
   limits_.policy().SetFleet(now, fleet);
 }
 
-void edge_task::Take(const quota_ask& ask) {
+void edge_task::Take(const quota_query& ask) {
   const time_point now = ReadBootClock();
   if (ask.kind == quota_kind::kUpstream) {
     TakeLimitAsk(now, ask);
     return;
   }
-  quotas_.policy().OnAsk(now, ask);
+  quotas_.policy().OnQuery(now, ask);
   SettleQuotas(now);
 }
 
-void edge_task::Take(const quota_verdict& verdict) {
+void edge_task::Take(const quota_reply& verdict) {
   const time_point now = ReadBootClock();
   if (verdict.kind == quota_kind::kUpstream) {
-    limits_.policy().OnVerdict(now, verdict);
+    limits_.policy().OnReply(now, verdict);
     SettleLimits(now);
     return;
   }
-  quotas_.policy().OnVerdict(now, verdict);
+  quotas_.policy().OnReply(now, verdict);
   SettleQuotas(now);
 }
 
 void edge_task::SendQuotaMessages(quota_policy& policy) {
-  for (quota_send& item : policy.TakeMessages()) {
+  for (outgoing_quota_message& item : policy.TakeMessages()) {
     services_.FindPort<fleet_message>(kFleetService).Post(std::move(item));
   }
 }
--- a/lib/Edge/limit_gate.cc
+++ b/lib/Edge/limit_gate.cc
@@ -27,7 +27,7 @@
   item.limit_age = question.limit_age;
   // A turn that is kept for a daemon whose requests go elsewhere meanwhile is
   // lost to all: a third of the limit where hundreds of daemons ask.
-  item.patience = question.waits ? kTurnPatience : duration(0);
+  item.max_wait = question.waits ? kTurnPatience : duration(0);
   waiting_[item.ticket] = question;
   policy_->Admit(now, item);
 }
--- a/lib/Edge/quota_gate.cc
+++ b/lib/Edge/quota_gate.cc
@@ -29,7 +29,7 @@
                                      .version = asked.version},
                            .weight = Weigh(asked.quota, asked.tokens),
                            .digest = asked.digest,
-                           .patience = asked.time_left / kReturnPart};
+                           .max_wait = asked.time_left / kReturnPart};
   waiting_[arrival.request] = {.arrival = arrival, .item = item};
   policy_->Admit(now, item);
 }
--- a/lib/Fleet/fleet_task.cc
+++ b/lib/Fleet/fleet_task.cc
@@ -94,7 +94,7 @@
     RecordQuarantines(ReadBootClock());
     return;
   }
-  if (const auto* quota = std::get_if<quota_send>(&message)) {
+  if (const auto* quota = std::get_if<outgoing_quota_message>(&message)) {
     std::visit(
         [&](const auto& item) {
           transport_->Send(quota->to, EncodePeerFrame(item));
@@ -124,9 +124,9 @@
     OnBeat(*beat);
   } else if (const auto* request = std::get_if<items_request_frame>(&*frame)) {
     OnItemsRequest(*request);
-  } else if (const auto* ask = std::get_if<quota_ask>(&*frame)) {
+  } else if (const auto* ask = std::get_if<quota_query>(&*frame)) {
     services_.FindPort<fleet_news>(kEdgeService).Post(*ask);
-  } else if (const auto* verdict = std::get_if<quota_verdict>(&*frame)) {
+  } else if (const auto* verdict = std::get_if<quota_reply>(&*frame)) {
     services_.FindPort<fleet_news>(kEdgeService).Post(*verdict);
   } else {
     OnItemsReply(std::get<items_reply_frame>(*frame));
--- a/lib/Fleet/peer_frame.cc
+++ b/lib/Fleet/peer_frame.cc
@@ -260,7 +260,7 @@
   if (!from || !is_sound) {
     return std::nullopt;
   }
-  quota_ask ask{.from = *from,
+  quota_query ask{.from = *from,
                 .ticket = wire.ticket(),
                 .kind = wire.is_upstream() ? quota_kind::kUpstream
                                            : quota_kind::kWorkspace,
@@ -271,14 +271,14 @@
                 .limit_age = duration(wire.limit_age_us()),
                 .weight = wire.weight(),
                 .digest = wire.digest(),
-                .patience = duration(wire.patience_us()),
+                .max_wait = duration(wire.patience_us()),
                 .is_final = wire.is_final(),
-                .told = std::nullopt};
+                .last_level = std::nullopt};
   if (const fleet_wire::quota_level* told = wire.told()) {
     if (!AreFinite({told->level()}) || told->age_us() < 0) {
       return std::nullopt;
     }
-    ask.told = quota_level{.owner = told->owner(),
+    ask.last_level = quota_level{.owner = told->owner(),
                            .level = told->level(),
                            .age = duration(told->age_us())};
   }
@@ -291,7 +291,7 @@
   if (!AreFinite({body.level(), body.share()}) || body.retry_after_us() < 0) {
     return std::nullopt;
   }
-  return quota_verdict{.kind = wire.is_upstream() ? quota_kind::kUpstream
+  return quota_reply{.kind = wire.is_upstream() ? quota_kind::kUpstream
                                                   : quota_kind::kWorkspace,
                        .ticket = body.ticket(),
                        .is_admitted = body.is_admitted(),
--- a/lib/Fleet/peer_frame_writer.cc
+++ b/lib/Fleet/peer_frame_writer.cc
@@ -122,22 +122,22 @@
         .Union();
   }
 
-  flatbuffers::Offset<void> operator()(const quota_ask& ask) {
+  flatbuffers::Offset<void> operator()(const quota_query& ask) {
     type_ = fleet_wire::body_quota_ask;
     fleet_wire::quota_level told;
-    if (ask.told) {
-      told = {ask.told->owner, ask.told->level, ask.told->age.count()};
+    if (ask.last_level) {
+      told = {ask.last_level->owner, ask.last_level->level, ask.last_level->age.count()};
     }
     return fleet_wire::Createquota_ask(
                out_, out_.CreateString(ask.from.ToString()), ask.ticket,
                ask.subject, ask.limit.rate, ask.limit.burst, ask.limit.version,
-               ask.weight, ask.digest, ask.patience.count(),
-               ask.told ? &told : nullptr, ask.is_final,
+               ask.weight, ask.digest, ask.max_wait.count(),
+               ask.last_level ? &told : nullptr, ask.is_final,
                ask.kind == quota_kind::kUpstream, ask.limit_age.count())
         .Union();
   }
 
-  flatbuffers::Offset<void> operator()(const quota_verdict& verdict) {
+  flatbuffers::Offset<void> operator()(const quota_reply& verdict) {
     type_ = fleet_wire::body_quota_verdict;
     const fleet_wire::quota_verdict_body body(
         verdict.ticket, verdict.retry_after.count(), verdict.owner,
--- a/unittests/Admission/quota_bucket_test.cc
+++ b/unittests/Admission/quota_bucket_test.cc
@@ -44,9 +44,9 @@
   quota_bucket bucket = MakeBucket(100, 100, -50);
   const duration patience = std::chrono::seconds(2);
   const auto first =
-      bucket.Decide(At(0), {.weight = 30, .digest = 1, .patience = patience});
+      bucket.Decide(At(0), {.weight = 30, .digest = 1, .max_wait = patience});
   const auto second =
-      bucket.Decide(At(0), {.weight = 30, .digest = 2, .patience = patience});
+      bucket.Decide(At(0), {.weight = 30, .digest = 2, .max_wait = patience});
   ASSERT_FALSE(first.is_admitted);
   ASSERT_FALSE(second.is_admitted);
   EXPECT_LT(first.retry_after, second.retry_after);
@@ -59,11 +59,11 @@
   }
   EXPECT_TRUE(bucket
                   .Decide(At(0) + first.retry_after,
-                          {.weight = 30, .digest = 1, .patience = patience})
+                          {.weight = 30, .digest = 1, .max_wait = patience})
                   .is_admitted);
   EXPECT_TRUE(bucket
                   .Decide(At(0) + second.retry_after,
-                          {.weight = 30, .digest = 2, .patience = patience})
+                          {.weight = 30, .digest = 2, .max_wait = patience})
                   .is_admitted);
 }
 
@@ -76,7 +76,7 @@
   for (int i = 0; i < 10'000; ++i) {
     const quota_bucket::request item{.weight = 10,
                                      .digest = static_cast<uint64_t>(i) + 1,
-                                     .patience = std::chrono::seconds(1)};
+                                     .max_wait = std::chrono::seconds(1)};
     taken += bucket.Decide(At(i * 0.002), item).is_admitted ? item.weight : 0;
   }
   // 20 s at 100 a second.
--- a/unittests/Admission/quota_fleet.cc
+++ b/unittests/Admission/quota_fleet.cc
@@ -187,14 +187,14 @@
        .limit = item.limit,
        .weight = request.weight,
        .digest = request.digest,
-       .patience =
+       .max_wait =
            FromSeconds(std::max(0.0, request.deadline - now_) / kReturnPart)});
   Settle(request.daemon);
 }
 
 void quota_fleet::Settle(size_t index) {
   quota_policy& policy = *daemons_[index].policy;
-  for (const quota_send& sent : policy.TakeMessages()) {
+  for (const outgoing_quota_message& sent : policy.TakeMessages()) {
     ++messages_;
     Deliver(index, sent);
   }
@@ -203,7 +203,7 @@
   }
 }
 
-void quota_fleet::Deliver(size_t from, const quota_send& sent) {
+void quota_fleet::Deliver(size_t from, const outgoing_quota_message& sent) {
   const size_t to = by_address_.at(sent.to);
   if (Uniform(0, 1) < options_.loss) {
     return;
@@ -214,10 +214,10 @@
     }
     daemon& target = daemons_[to];
     const time_point now = ClockOf(target);
-    if (const auto* ask = std::get_if<quota_ask>(&sent.message)) {
-      target.policy->OnAsk(now, *ask);
+    if (const auto* ask = std::get_if<quota_query>(&sent.message)) {
+      target.policy->OnQuery(now, *ask);
     } else {
-      target.policy->OnVerdict(now, std::get<quota_verdict>(sent.message));
+      target.policy->OnReply(now, std::get<quota_reply>(sent.message));
     }
     Settle(to);
   });
--- a/unittests/Admission/quota_fleet.h
+++ b/unittests/Admission/quota_fleet.h
@@ -123,7 +123,7 @@
   void AwaitTurn(const sent_request& request, double wait);
   void Settle(size_t index);
   void OnDecision(const quota_decision& decision);
-  void Deliver(size_t from, const quota_send& sent);
+  void Deliver(size_t from, const outgoing_quota_message& sent);
   bool Reaches(size_t from, size_t to) const;
   double Uniform(double low, double high);
   void ScheduleArrivals(const load& callers, double until);
--- a/unittests/Fleet/peer_frame_test.cc
+++ b/unittests/Fleet/peer_frame_test.cc
@@ -145,36 +145,36 @@
   }
 }
 
-quota_ask MakeAsk() {
+quota_query MakeAsk() {
   return {.from = {"10.0.0.1", 1},
           .ticket = 5,
           .subject = 6,
           .limit = {.rate = 100, .burst = 200, .version = 3},
           .weight = -9.5,
           .digest = 8,
-          .patience = std::chrono::milliseconds(1'500),
+          .max_wait = std::chrono::milliseconds(1'500),
           .is_final = true,
-          .told = quota_level{
+          .last_level = quota_level{
               .owner = 2, .level = -7, .age = std::chrono::milliseconds(40)}};
 }
 
 TEST(peer_frame_test, AQuotaQuestionComesBack) {
   const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(MakeAsk())));
   ASSERT_TRUE(frame.has_value());
-  const auto& ask = std::get<quota_ask>(*frame);
+  const auto& ask = std::get<quota_query>(*frame);
   EXPECT_EQ(ask.from, MakeAsk().from);
   EXPECT_EQ(ask.ticket, 5U);
   EXPECT_EQ(ask.limit.version, 3U);
   EXPECT_EQ(ask.weight, -9.5);
-  EXPECT_EQ(ask.patience, MakeAsk().patience);
+  EXPECT_EQ(ask.max_wait, MakeAsk().max_wait);
   EXPECT_TRUE(ask.is_final);
-  ASSERT_TRUE(ask.told.has_value());
-  EXPECT_EQ(ask.told->level, -7);
-  EXPECT_EQ(ask.told->age, MakeAsk().told->age);
+  ASSERT_TRUE(ask.last_level.has_value());
+  EXPECT_EQ(ask.last_level->level, -7);
+  EXPECT_EQ(ask.last_level->age, MakeAsk().last_level->age);
 }
 
 TEST(peer_frame_test, AQuotaAnswerComesBack) {
-  const quota_verdict verdict{.ticket = 5,
+  const quota_reply verdict{.ticket = 5,
                               .is_admitted = true,
                               .retry_after = std::chrono::milliseconds(20),
                               .owner = 9,
@@ -182,7 +182,7 @@
                               .share = 0.5};
   const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(verdict)));
   ASSERT_TRUE(frame.has_value());
-  const auto& back = std::get<quota_verdict>(*frame);
+  const auto& back = std::get<quota_reply>(*frame);
   EXPECT_EQ(back.ticket, 5U);
   EXPECT_TRUE(back.is_admitted);
   EXPECT_EQ(back.retry_after, verdict.retry_after);
@@ -204,15 +204,15 @@
   EXPECT_FALSE(limits[0].has_ended);
   EXPECT_TRUE(limits[1].has_ended);
 
-  quota_ask ask = MakeAsk();
+  quota_query ask = MakeAsk();
   ask.kind = quota_kind::kUpstream;
   ask.limit_age = std::chrono::milliseconds(90);
   const auto asked = DecodePeerFrame(BytesOf(EncodePeerFrame(ask)));
-  EXPECT_EQ(std::get<quota_ask>(*asked).kind, quota_kind::kUpstream);
-  EXPECT_EQ(std::get<quota_ask>(*asked).limit_age, ask.limit_age);
+  EXPECT_EQ(std::get<quota_query>(*asked).kind, quota_kind::kUpstream);
+  EXPECT_EQ(std::get<quota_query>(*asked).limit_age, ask.limit_age);
   const auto answered = DecodePeerFrame(BytesOf(EncodePeerFrame(
-      quota_verdict{.kind = quota_kind::kUpstream, .ticket = 5})));
-  EXPECT_EQ(std::get<quota_verdict>(*answered).kind, quota_kind::kUpstream);
+      quota_reply{.kind = quota_kind::kUpstream, .ticket = 5})));
+  EXPECT_EQ(std::get<quota_reply>(*answered).kind, quota_kind::kUpstream);
 }
 
 TEST(peer_frame_test, ALimitWithoutSenseIsRefused) {
@@ -224,7 +224,7 @@
     beat.limits = {item};
     EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(beat))).has_value());
   }
-  quota_ask ask = MakeAsk();
+  quota_query ask = MakeAsk();
   ask.limit_age = duration::max();
   EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(ask))).has_value());
 }
@@ -259,14 +259,14 @@
 
 // One number that is none would stay in an owner's bucket for good.
 TEST(peer_frame_test, AQuotaQuestionWithoutSenseIsRefused) {
-  quota_ask ask = MakeAsk();
+  quota_query ask = MakeAsk();
   ask.weight = std::nan("");
   EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(ask))).has_value());
   ask = MakeAsk();
   ask.limit.rate = -1;
   EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(ask))).has_value());
   ask = MakeAsk();
-  ask.told->level = -std::numeric_limits<double>::infinity();
+  ask.last_level->level = -std::numeric_limits<double>::infinity();
   EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(ask))).has_value());
 }
 
--- a/unittests/PlatformAdapter/http_protocol_test.cc
+++ b/unittests/PlatformAdapter/http_protocol_test.cc
@@ -39,7 +39,7 @@
   EXPECT_EQ(request.host, "h");
   EXPECT_EQ(request.path, "/a/b");
   EXPECT_EQ(request.credential, "secret");
-  EXPECT_EQ(request.patience, duration(std::chrono::seconds(5)));
+  EXPECT_EQ(request.max_wait, duration(std::chrono::seconds(5)));
   EXPECT_EQ(request.prompt_tokens, 1460U);
   EXPECT_EQ(request.max_output_tokens, 80U);
   ASSERT_EQ(request.parts.size(), 3U);
