--- a/benchmarks/limit_ways.cc
+++ b/benchmarks/limit_ways.cc
@@ -41,7 +41,7 @@
 void Play(quota_way way, size_t size, double rate, const played_case& item) {
   quota_fleet fleet({.daemons = size,
                      .way = way,
-                     .fallback = quota_fallback::kNothing,
+                     .fallback = quota_fallback::kRefuse,
                      .loss = item.loss});
   const quota_limit quota = QuotaOfLimit(rate);
   fleet.SetLimit(quota.rate, quota.burst, 0);
--- a/include/cuminswitch/Admission/owner_quota_policy.h
+++ b/include/cuminswitch/Admission/owner_quota_policy.h
@@ -17,10 +17,10 @@
 /// What is done where nobody can be asked.
 enum class quota_fallback : uint8_t {
   /// The daemon gives out an even part of the limit.
-  kEvenPart,
+  kEvenShare,
   /// Nothing is taken: where a limit is a few requests a second, the parts of
   /// many daemons, of one request each at least, add up to many times of it.
-  kNothing,
+  kRefuse,
 };
 
 /// Each subject (a workspace, or an upstream that names a limit) has an owner,
@@ -60,12 +60,12 @@
     uint64_t id = 0;
     quota_kind kind = quota_kind::kWorkspace;
     /// What becomes of a request while no owner answers.
-    quota_fallback fallback = quota_fallback::kEvenPart;
+    quota_fallback fallback = quota_fallback::kEvenShare;
   };
 
   /// A daemon that has just started takes so long to hear of most others: beats
   /// reach everybody at 68 hosts within 0.6 s.
-  static constexpr duration kGatherTime = std::chrono::milliseconds(1'500);
+  static constexpr duration kWarmUpTime = std::chrono::milliseconds(1'500);
 
   explicit owner_quota_policy(const options& opts);
 
--- a/include/cuminswitch/Admission/quota_policy.h
+++ b/include/cuminswitch/Admission/quota_policy.h
@@ -39,11 +39,11 @@
   /// This daemon, as the owner.
   kSelf,
   /// This daemon by what an owner told it just before.
-  kBelief,
+  kCached,
   /// This daemon by its own part of the limit; no owner was reached.
-  kOwnPart,
+  kLocalShare,
   /// Nobody: no owner was reached.
-  kNobody,
+  kNone,
 };
 
 std::string_view ToString(quota_source source);
--- a/lib/Admission/even_quota_policy.cc
+++ b/lib/Admission/even_quota_policy.cc
@@ -50,7 +50,7 @@
   decisions_.push_back({.ticket = item.ticket,
                         .is_admitted = decided.is_admitted,
                         .retry_after = decided.retry_after,
-                        .source = quota_source::kOwnPart,
+                        .source = quota_source::kLocalShare,
                         .level = own.bucket.Level(now),
                         .share = 1.0 / static_cast<double>(known_)});
 }
--- a/lib/Admission/owner_quota_policy.cc
+++ b/lib/Admission/owner_quota_policy.cc
@@ -129,7 +129,7 @@
   }
   // What it saw while it still gathered who there is says nothing.
   const time_point since =
-      std::max(now - notice_time_, *started_at_ + kGatherTime);
+      std::max(now - notice_time_, *started_at_ + kWarmUpTime);
   double least = seen_.back().part;
   for (size_t i = 0; i + 1 < seen_.size(); ++i) {
     if (seen_[i + 1].from > since) {
@@ -209,11 +209,11 @@
 
 void owner_quota_policy::DecideAlone(time_point now,
                                      const quota_request& item) {
-  if (fallback_ == quota_fallback::kNothing) {
+  if (fallback_ == quota_fallback::kRefuse) {
     decisions_.push_back({.ticket = item.ticket,
                           .is_admitted = false,
                           .retry_after = kSilentTime,
-                          .source = quota_source::kNobody});
+                          .source = quota_source::kNone});
     return;
   }
   if (const auto found = told_.find(item.subject); found != told_.end()) {
@@ -224,7 +224,7 @@
       told.level -= item.weight;
       decisions_.push_back({.ticket = item.ticket,
                             .is_admitted = true,
-                            .source = quota_source::kBelief,
+                            .source = quota_source::kCached,
                             .level = told.level,
                             .age = now - told.at});
       unreported_[item.subject] += item.weight;
--- a/lib/Admission/quota_policy.cc
+++ b/lib/Admission/quota_policy.cc
@@ -8,11 +8,11 @@
       return "owner";
     case quota_source::kSelf:
       return "self";
-    case quota_source::kBelief:
+    case quota_source::kCached:
       return "belief";
-    case quota_source::kOwnPart:
+    case quota_source::kLocalShare:
       return "own_part";
-    case quota_source::kNobody:
+    case quota_source::kNone:
       return "nobody";
   }
   return "unknown";
--- a/lib/Edge/edge_quotas.cc
+++ b/lib/Edge/edge_quotas.cc
@@ -20,7 +20,7 @@
       living.push_back(item.peer_address);
     }
   }
-  has_gathered_ = now - started_at_ >= owner_quota_policy::kGatherTime;
+  has_gathered_ = now - started_at_ >= owner_quota_policy::kWarmUpTime;
   if (!has_gathered_ && knowledge_ != nullptr) {
     // A daemon that knows itself alone would take itself for the owner of
     // every quota, as all do that were killed together.
--- a/lib/Edge/edge_task.cc
+++ b/lib/Edge/edge_task.cc
@@ -44,7 +44,7 @@
                   .self = opts.self.peer_address,
                   .id = Hash64(opts.self.name, opts.self.incarnation),
                   .kind = quota_kind::kUpstream,
-                  .fallback = quota_fallback::kNothing}),
+                  .fallback = quota_fallback::kRefuse}),
               Hash64(opts.self.name)),
       stop_(opts.grace),
       started_at_(ReadBootClock()) {}
--- a/unittests/Admission/limit_fleet_test.cc
+++ b/unittests/Admission/limit_fleet_test.cc
@@ -36,7 +36,7 @@
   size_t size() const { return std::get<0>(GetParam()); }
   double rate() const { return std::get<1>(GetParam()); }
   quota_fleet::options Options() const {
-    return {.daemons = size(), .fallback = quota_fallback::kNothing};
+    return {.daemons = size(), .fallback = quota_fallback::kRefuse};
   }
   void Name(quota_fleet& fleet) const {
     const quota_limit quota = QuotaOfLimit(rate());
@@ -169,7 +169,7 @@
   const size_t size = sizes[GetParam() % std::size(sizes)];
   const double rate = std::exp(draw(std::log(0.2), std::log(50)));
   quota_fleet fleet({.daemons = size,
-                     .fallback = quota_fallback::kNothing,
+                     .fallback = quota_fallback::kRefuse,
                      .seed = GetParam(),
                      .loss = draw(0, 0.02),
                      .clock_skew = 0.001});
--- a/unittests/Admission/quota_fleet.h
+++ b/unittests/Admission/quota_fleet.h
@@ -27,7 +27,7 @@
   struct options {
     size_t daemons = 68;
     quota_way way = quota_way::kOwner;
-    quota_fallback fallback = quota_fallback::kEvenPart;
+    quota_fallback fallback = quota_fallback::kEvenShare;
     uint64_t seed = 1;
     /// How long after a change a daemon knows it; spread over the fleet.
     double detection_seconds = 2.2;
