--- a/include/cuminswitch/Admission/load_shedder.h
+++ b/include/cuminswitch/Admission/load_shedder.h
@@ -19,7 +19,7 @@
   /// Until when a first byte is worth everything, from the arrival.
   duration target{0};
   /// After this long without a byte its caller leaves, from the arrival.
-  duration longest_silence{0};
+  duration caller_idle_timeout{0};
   priority_class priority = priority_class::kStandard;
 };
 
--- a/include/cuminswitch/Edge/arrival_translator.h
+++ b/include/cuminswitch/Edge/arrival_translator.h
@@ -12,7 +12,7 @@
 namespace cuminswitch {
 
 class caller_exchange;
-struct workspace_plan;
+struct workspace_config;
 
 /// Returns a digest of what a caller of \p workspace sends again, and what is
 /// the same however often it does. The workspace is part of it, so that no
@@ -22,11 +22,11 @@
 /// Describes the request of \p flow; \p workspace is null where its route is
 /// open to all.
 request_arrived DescribeArrival(const request_flow::options& flow,
-                                const workspace_plan* workspace);
+                                const workspace_config* workspace);
 /// Describes the request of \p flow, whose workspace has \p quota.
 quota_gate::question DescribeQuotaQuestion(time_point now,
                                            const request_flow& flow,
-                                           const quota_plan& quota,
+                                           const quota_config& quota,
                                            request_arrived arrival);
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Edge/edge_task.h
+++ b/include/cuminswitch/Edge/edge_task.h
@@ -126,11 +126,11 @@
   /// Answers what is not forwarded; returns the status that it got, or 0.
   uint32_t CheckRequest(const caller_request& request,
                         const route_spec*& route,
-                        const workspace_plan*& workspace) const;
+                        const workspace_config*& workspace) const;
   void BeginFlow(caller_exchange& exchange,
                  caller_request request,
                  const route_spec& route,
-                 const workspace_plan* workspace);
+                 const workspace_config* workspace);
   /// Sends what the quotas have to say and carries out what they decided.
   void SettleQuotas(time_point now);
   void TellQuotasOfFleet(time_point now);
--- a/include/cuminswitch/Edge/plan_translator.h
+++ b/include/cuminswitch/Edge/plan_translator.h
@@ -25,7 +25,7 @@
 /// known. A model's version is the newest of those named and of those that
 /// \p held says upstreams have: that an upstream has one only shows that its
 /// naming is known there and not yet here.
-std::shared_ptr<const configuration> TranslatePlan(
+std::shared_ptr<const configuration> TranslateRoutingConfig(
     const fleet_snapshot& knowledge,
     const weights_census& held);
 
--- a/include/cuminswitch/Edge/quota_gate.h
+++ b/include/cuminswitch/Edge/quota_gate.h
@@ -41,7 +41,7 @@
   /// A request before its decision.
   struct question {
     request_arrived arrival;
-    const quota_plan& quota;
+    const quota_config& quota;
     /// Of the configuration that holds the quota.
     uint64_t version = 0;
     /// Tokens that it reads and may write; 0 where it does not say.
--- a/include/cuminswitch/Edge/request_flow.h
+++ b/include/cuminswitch/Edge/request_flow.h
@@ -66,7 +66,7 @@
     caller_exchange* exchange = nullptr;
     caller_request request;
     /// Kept alive with the flow.
-    std::shared_ptr<const route_plan> plan;
+    std::shared_ptr<const routing_config> plan;
     const route_spec* route = nullptr;
     std::string workspace;
     uint32_t rank = 0;
@@ -102,7 +102,7 @@
   time_point deadline() const { return options_.deadline; }
   bool has_ended() const { return has_ended_; }
   const caller_request& request() const { return options_.request; }
-  const route_plan& plan() const { return *options_.plan; }
+  const routing_config& plan() const { return *options_.plan; }
   const route_spec& route() const { return *options_.route; }
   const std::string& workspace() const { return options_.workspace; }
   const hash128& digest() const { return options_.digest; }
--- a/include/cuminswitch/Fleet/fleet_knowledge.h
+++ b/include/cuminswitch/Fleet/fleet_knowledge.h
@@ -67,7 +67,7 @@
 /// What is known besides the upstreams. Immutable once published.
 struct fleet_snapshot {
   /// Null until a configuration is known.
-  std::shared_ptr<const route_plan> plan;
+  std::shared_ptr<const routing_config> plan;
   std::vector<weights_version> wanted_weights;
   std::vector<daemon_entry> daemons;
   /// Digests of requests that are kept away from upstreams.
--- a/include/cuminswitch/Fleet/route_plan.h
+++ b/include/cuminswitch/Fleet/route_plan.h
@@ -43,10 +43,10 @@
   /// The time within which an answer is worth everything.
   std::chrono::milliseconds target_latency{0};
   /// The longest pause between events of a stream that is on time.
-  std::chrono::milliseconds longest_pause{500};
+  std::chrono::milliseconds max_event_gap{500};
   /// After this long without an event the caller of a stream leaves; 0 for not
   /// known.
-  std::chrono::milliseconds longest_silence{0};
+  std::chrono::milliseconds caller_idle_timeout{0};
   /// Upstreams that may run a request.
   uint32_t max_attempts = 1;
   /// 0 is the most urgent.
@@ -67,7 +67,7 @@
 };
 
 /// A store of cached prefixes.
-struct cache_store_plan {
+struct cache_store_config {
   endpoint address;
   std::string failure_domain;
   /// Megabits per second of its link.
@@ -75,7 +75,7 @@
 };
 
 /// A service whose upstreams answer a route's requests.
-struct service_plan {
+struct service_config {
   std::string name;
   bool is_engine = false;
   /// Models that its engines serve.
@@ -87,7 +87,7 @@
   /// Prompt tokens that one engine has memory for, running requests included.
   double cache_tokens = 0;
   /// Set for a store of cached prefixes; it has no upstreams.
-  std::optional<cache_store_plan> cache_store;
+  std::optional<cache_store_config> cache_store;
   /// Connections that one upstream takes from all daemons together.
   uint32_t max_connections = 0;
 };
@@ -100,7 +100,7 @@
 };
 
 /// What a workspace may use over the whole fleet.
-struct quota_plan {
+struct quota_config {
   /// Units a second, more than 0.
   double rate = 0;
   /// Units that may be used at once beyond the rate.
@@ -110,7 +110,7 @@
   double uncounted_tokens = 0;
 };
 
-struct workspace_plan {
+struct workspace_config {
   std::string name;
   std::vector<std::string> credentials;
   /// In place of the routes' rank.
@@ -118,15 +118,15 @@
   /// Shares no cached prefix with any other workspace.
   bool is_isolated = false;
   /// Nothing for no limit.
-  std::optional<quota_plan> quota;
+  std::optional<quota_config> quota;
 };
 
 /// A configuration in full.
-struct route_plan {
+struct routing_config {
   uint64_t version = 0;
   std::vector<route_spec> routes;
-  std::vector<service_plan> services;
-  std::vector<workspace_plan> workspaces;
+  std::vector<service_config> services;
+  std::vector<workspace_config> workspaces;
   size_t max_head_size = 0;
   size_t max_body_size = 0;
   std::chrono::milliseconds request_timeout{0};
@@ -136,8 +136,8 @@
   const route_spec* FindRoute(std::string_view host,
                               std::string_view path) const;
   /// Returns who holds \p credential, or null.
-  const workspace_plan* FindHolder(std::string_view credential) const;
-  const service_plan* FindService(std::string_view name) const;
+  const workspace_config* FindWorkspace(std::string_view credential) const;
+  const service_config* FindService(std::string_view name) const;
   /// Sorts the routes and indexes the credentials; call it once, at the end.
   void BuildIndex();
 
--- a/include/cuminswitch/Protocol/core_event.h
+++ b/include/cuminswitch/Protocol/core_event.h
@@ -63,7 +63,7 @@
   /// Until when a first byte is worth everything; 0 for not known.
   duration target_latency{0};
   /// After this long without a byte the caller leaves; 0 for not known.
-  duration longest_silence{0};
+  duration caller_idle_timeout{0};
   repeat_rule repeats = repeat_rule::kByTarget;
   /// Upstreams that may run it; 0 for no limit.
   uint32_t max_runs = 0;
--- a/lib/Admission/load_shedder.cc
+++ b/lib/Admission/load_shedder.cc
@@ -32,8 +32,8 @@
   const double wait = ToSeconds(question.waited + question.expected);
   const double some = ToSeconds(BorneWait(question));
   double all = some * kAllRefusedFactor;
-  if (question.longest_silence > duration(0)) {
-    all = std::min(all, ToSeconds(question.longest_silence) * kSilenceUsed);
+  if (question.caller_idle_timeout > duration(0)) {
+    all = std::min(all, ToSeconds(question.caller_idle_timeout) * kSilenceUsed);
   }
   if (wait >= all) {
     return 1;
--- a/lib/Core/request_refusals.cc
+++ b/lib/Core/request_refusals.cc
@@ -69,7 +69,7 @@
   const shed_question question{.waited = wait.waited,
                                .expected = wait.Ahead(),
                                .target = item.info.target_latency,
-                               .longest_silence = item.info.longest_silence,
+                               .caller_idle_timeout = item.info.caller_idle_timeout,
                                .priority = PriorityOf(item)};
   if (LuckOf(item) >= RefusalChance(question)) {
     return false;
--- a/lib/Edge/arrival_translator.cc
+++ b/lib/Edge/arrival_translator.cc
@@ -54,10 +54,10 @@
 }
 
 request_arrived DescribeArrival(const request_flow::options& flow,
-                                const workspace_plan* workspace) {
+                                const workspace_config* workspace) {
   const route_spec& route = *flow.route;
   const std::string& service = ChooseService(route, flow.request.attempt);
-  const service_plan* plan = flow.plan->FindService(service);
+  const service_config* plan = flow.plan->FindService(service);
   const bool is_engine = plan != nullptr && plan->is_engine;
   request_arrived arrival{
       .request = flow.id,
@@ -68,7 +68,7 @@
       .request_digest = flow.digest,
       .time_limit = flow.deadline - flow.arrived,
       .target_latency = route.target_latency,
-      .longest_silence = route.longest_silence,
+      .caller_idle_timeout = route.caller_idle_timeout,
       .repeats =
           route.MayRepeat() ? repeat_rule::kRepeatable : repeat_rule::kOnce,
       .max_runs = route.max_attempts,
@@ -81,7 +81,7 @@
 
 quota_gate::question DescribeQuotaQuestion(time_point now,
                                            const request_flow& flow,
-                                           const quota_plan& quota,
+                                           const quota_config& quota,
                                            request_arrived arrival) {
   const caller_request& request = flow.request();
   // A caller's repeat has another name, and is the same in all the rest.
--- a/lib/Edge/edge_arrivals.cc
+++ b/lib/Edge/edge_arrivals.cc
@@ -27,11 +27,11 @@
 
 uint32_t edge_task::CheckRequest(const caller_request& request,
                                  const route_spec*& route,
-                                 const workspace_plan*& workspace) const {
+                                 const workspace_config*& workspace) const {
   if (knowledge_ == nullptr || knowledge_->plan == nullptr) {
     return status_code::kUnavailable;
   }
-  const route_plan& plan = *knowledge_->plan;
+  const routing_config& plan = *knowledge_->plan;
   route = plan.FindRoute(request.host, request.path);
   if (route == nullptr) {
     return status_code::kNotFound;
@@ -39,14 +39,14 @@
   if (plan.workspaces.empty() || route->is_public) {
     return 0;
   }
-  workspace = plan.FindHolder(request.credential);
+  workspace = plan.FindWorkspace(request.credential);
   return workspace == nullptr ? status_code::kUnauthorized : 0;
 }
 
 void edge_task::OnRequest(caller_exchange& exchange) {
   caller_request request = with_.protocol.ReadRequest(exchange.Head());
   const route_spec* route = nullptr;
-  const workspace_plan* workspace = nullptr;
+  const workspace_config* workspace = nullptr;
   uint32_t status = CheckRequest(request, route, workspace);
   if (status == 0 &&
       !stop_.MayTake(ReadBootClock(), PatienceOf(request, *route))) {
@@ -77,7 +77,7 @@
 void edge_task::BeginFlow(caller_exchange& exchange,
                           caller_request request,
                           const route_spec& route,
-                          const workspace_plan* workspace) {
+                          const workspace_config* workspace) {
   const time_point now = ReadBootClock();
   const duration patience = PatienceOf(request, route);
   request_flow::options options{
--- a/lib/Edge/edge_knowledge.cc
+++ b/lib/Edge/edge_knowledge.cc
@@ -69,7 +69,7 @@
 
 void edge_task::ApplyPlan(time_point now, action_list& actions) {
   if (knowledge_ != nullptr && knowledge_->plan != nullptr) {
-    router_.OnPlan(now, TranslatePlan(*knowledge_, held_weights_), actions);
+    router_.OnPlan(now, TranslateRoutingConfig(*knowledge_, held_weights_), actions);
   }
 }
 
@@ -84,7 +84,7 @@
   if (knowledge_->plan == nullptr || has_same_plan) {
     return;
   }
-  const route_plan& plan = *knowledge_->plan;
+  const routing_config& plan = *knowledge_->plan;
   server_->SetLimits({.max_head_size = plan.max_head_size,
                       .max_body_size = plan.max_body_size,
                       .request_timeout = plan.request_timeout,
--- a/lib/Edge/edge_limits.cc
+++ b/lib/Edge/edge_limits.cc
@@ -126,7 +126,7 @@
     return std::nullopt;
   }
   const upstream_entry& entry = *found->second;
-  const service_plan* service = knowledge_->plan->FindService(entry.service);
+  const service_config* service = knowledge_->plan->FindService(entry.service);
   if (service == nullptr) {
     return std::nullopt;
   }
--- a/lib/Edge/edge_task.cc
+++ b/lib/Edge/edge_task.cc
@@ -228,7 +228,7 @@
   const bool is_late_begun =
       *flow.first_byte_at() - flow.arrived() > route.target_latency;
   const bool has_paused =
-      route.IsStream() && flow.longest_pause() > route.longest_pause;
+      route.IsStream() && flow.longest_pause() > route.max_event_gap;
   if (is_late_begun) {
     return has_paused ? "both" : "first_byte";
   }
--- a/lib/Edge/plan_translator.cc
+++ b/lib/Edge/plan_translator.cc
@@ -45,10 +45,10 @@
 
 /// Lists the stores with the rates that they have for \p engines' prefixes.
 static std::vector<cache_store_spec> ListCacheStores(
-    const route_plan& plan,
-    const service_plan& engines) {
+    const routing_config& plan,
+    const service_config& engines) {
   std::vector<cache_store_spec> stores;
-  for (const service_plan& service : plan.services) {
+  for (const service_config& service : plan.services) {
     if (service.cache_store) {
       const double rate =
           engines.token_megabits > 0
@@ -77,12 +77,12 @@
   return spec;
 }
 
-std::shared_ptr<const configuration> TranslatePlan(
+std::shared_ptr<const configuration> TranslateRoutingConfig(
     const fleet_snapshot& knowledge,
     const weights_census& held) {
   auto config = std::make_shared<configuration>();
   std::vector<std::string> targets;
-  for (const service_plan& service : knowledge.plan->services) {
+  for (const service_config& service : knowledge.plan->services) {
     config->services.push_back({.name = service.name, .repeatable = true});
     targets.push_back(service.name);
     for (const std::string& model : service.models) {
@@ -99,7 +99,7 @@
   config->workspaces.push_back({.name = std::string(kPublicWorkspace),
                                 .uses = targets,
                                 .max_in_flight = kNoWorkspaceLimit});
-  for (const workspace_plan& item : knowledge.plan->workspaces) {
+  for (const workspace_config& item : knowledge.plan->workspaces) {
     config->workspaces.push_back({.name = item.name,
                                   .uses = targets,
                                   .max_in_flight = kNoWorkspaceLimit});
--- a/lib/Edge/quota_gate.cc
+++ b/lib/Edge/quota_gate.cc
@@ -13,7 +13,7 @@
 /// told a longer wait comes early or not at all, so nothing is kept for it.
 static constexpr int kReturnPart = 3;
 
-static double Weigh(const quota_plan& quota, uint64_t tokens) {
+static double Weigh(const quota_config& quota, uint64_t tokens) {
   if (quota.unit == quota_unit::kRequests) {
     return 1;
   }
--- a/lib/Edge/request_flow.cc
+++ b/lib/Edge/request_flow.cc
@@ -110,7 +110,7 @@
 duration request_flow::StallTime() const {
   const route_spec& route = *options_.route;
   if (first_byte_at_) {
-    return route.longest_pause * kPausesToStall;
+    return route.max_event_gap * kPausesToStall;
   }
   const duration target =
       route.target_latency *
--- a/lib/Fleet/route_plan.cc
+++ b/lib/Fleet/route_plan.cc
@@ -5,7 +5,7 @@
 
 namespace cuminswitch {
 
-void route_plan::BuildIndex() {
+void routing_config::BuildIndex() {
   std::sort(routes.begin(), routes.end(),
             [](const route_spec& a, const route_spec& b) {
               return std::make_tuple(std::cref(a.host),
@@ -21,7 +21,7 @@
   }
 }
 
-const route_spec* route_plan::FindRoute(std::string_view host,
+const route_spec* routing_config::FindRoute(std::string_view host,
                                         std::string_view path) const {
   auto item =
       std::lower_bound(routes.begin(), routes.end(), host,
@@ -37,16 +37,16 @@
   return nullptr;
 }
 
-const workspace_plan* route_plan::FindHolder(
+const workspace_config* routing_config::FindWorkspace(
     std::string_view credential) const {
   const auto found = by_credential_.find(std::string(credential));
   return found == by_credential_.end() ? nullptr : &workspaces[found->second];
 }
 
-const service_plan* route_plan::FindService(std::string_view name) const {
+const service_config* routing_config::FindService(std::string_view name) const {
   const auto found =
       std::find_if(services.begin(), services.end(),
-                   [&](const service_plan& item) { return item.name == name; });
+                   [&](const service_config& item) { return item.name == name; });
   return found == services.end() ? nullptr : &*found;
 }
 
--- a/unittests/Admission/load_shedder_test.cc
+++ b/unittests/Admission/load_shedder_test.cc
@@ -16,7 +16,7 @@
   return {.waited = milliseconds(waited_ms),
           .expected = milliseconds(expected_ms),
           .target = milliseconds(800),
-          .longest_silence = milliseconds(4000),
+          .caller_idle_timeout = milliseconds(4000),
           .priority = priority};
 }
 
--- a/unittests/Core/request_router_test.cc
+++ b/unittests/Core/request_router_test.cc
@@ -338,7 +338,7 @@
                        .prompt_tokens = 1000,
                        .time_limit = std::chrono::seconds(60),
                        .target_latency = std::chrono::milliseconds(300),
-                       .longest_silence = std::chrono::seconds(4)},
+                       .caller_idle_timeout = std::chrono::seconds(4)},
                       out_);
     if (const auto answer = Take<answer_request>()) {
       ++refused;
@@ -417,7 +417,7 @@
                        .prompt_tokens = 200,
                        .time_limit = std::chrono::seconds(60),
                        .target_latency = std::chrono::milliseconds(500),
-                       .longest_silence = std::chrono::seconds(4)},
+                       .caller_idle_timeout = std::chrono::seconds(4)},
                       out_);
   }
 
--- a/unittests/Edge/request_flow_test.cc
+++ b/unittests/Edge/request_flow_test.cc
@@ -93,7 +93,7 @@
     exchange_.head.target = "/";
     route_.kind = request_kind::kResumableStream;
     route_.target_latency = milliseconds(25);
-    route_.longest_pause = milliseconds(100);
+    route_.max_event_gap = milliseconds(100);
     route_.max_attempts = 2;
     const time_point now = ReadBootClock();
     flow_ = std::make_unique<request_flow>(
--- a/unittests/Fleet/route_plan_test.cc
+++ b/unittests/Fleet/route_plan_test.cc
@@ -6,8 +6,8 @@
 namespace cuminswitch {
 namespace {
 
-route_plan MakePlan() {
-  route_plan plan;
+routing_config MakePlan() {
+  routing_config plan;
   plan.routes = {
       {.name = "short", .host = "h", .path_prefix = "/a/"},
       {.name = "long", .host = "h", .path_prefix = "/a/b/"},
@@ -18,8 +18,8 @@
   return plan;
 }
 
-TEST(route_plan_test, TheLongestPrefixOfTheHostWins) {
-  const route_plan plan = MakePlan();
+TEST(routing_config_test, TheLongestPrefixOfTheHostWins) {
+  const routing_config plan = MakePlan();
   EXPECT_EQ(plan.FindRoute("h", "/a/b/c/d")->name, "long");
   EXPECT_EQ(plan.FindRoute("h", "/a/bb")->name, "short");
   EXPECT_EQ(plan.FindRoute("i", "/a/b/c/d")->name, "other");
@@ -28,11 +28,11 @@
   EXPECT_EQ(plan.FindRoute("j", "/a/"), nullptr);
 }
 
-TEST(route_plan_test, FindsTheHolderOfACredential) {
-  const route_plan plan = MakePlan();
-  EXPECT_EQ(plan.FindHolder("k2")->name, "w");
-  EXPECT_EQ(plan.FindHolder(""), nullptr);
-  EXPECT_EQ(plan.FindHolder("k3"), nullptr);
+TEST(routing_config_test, FindsTheHolderOfACredential) {
+  const routing_config plan = MakePlan();
+  EXPECT_EQ(plan.FindWorkspace("k2")->name, "w");
+  EXPECT_EQ(plan.FindWorkspace(""), nullptr);
+  EXPECT_EQ(plan.FindWorkspace("k3"), nullptr);
 }
 
 }  // namespace
--- a/unittests/PlatformAdapter/document_decoder_test.cc
+++ b/unittests/PlatformAdapter/document_decoder_test.cc
@@ -97,7 +97,7 @@
   Put("op/config", kConfiguration);
   const auto knowledge = Decode();
   ASSERT_NE(knowledge, nullptr);
-  const route_plan& plan = *knowledge->plan;
+  const routing_config& plan = *knowledge->plan;
   EXPECT_EQ(plan.version, 7U);
   EXPECT_EQ(plan.FindRoute("h", "/a/x")->kind, request_kind::kStream);
   EXPECT_EQ(plan.FindRoute("h", "/a/x")->shares.size(), 2U);
@@ -111,7 +111,7 @@
   ASSERT_TRUE(plan.FindService("s3")->cache_store.has_value());
   EXPECT_EQ(plan.FindService("s3")->cache_store->address,
             (endpoint{"172.20.0.2", 8781}));
-  EXPECT_TRUE(plan.FindHolder("k2")->is_isolated);
+  EXPECT_TRUE(plan.FindWorkspace("k2")->is_isolated);
   EXPECT_EQ(plan.idle_timeout, std::chrono::seconds(15));
 }
 
