--- a/include/cuminswitch/Admission/request_quarantine.h
+++ b/include/cuminswitch/Admission/request_quarantine.h
@@ -60,7 +60,7 @@
   /// A run of \p request that was sent at \p sent came to its end.
   void OnCompleted(time_point now, const hash128& request, time_point sent);
   /// Takes in what a peer knows.
-  void OnNews(time_point now, const quarantine_news& news);
+  void OnUpdate(time_point now, const quarantine_update& news);
   /// Takes in which requests the store lists as quarantined.
   void OnStored(time_point now, std::span<const hash128> requests);
   /// \p upstream answered an attempt that was sent at \p sent, so it had not
@@ -74,9 +74,9 @@
                                    const hash128& request) const;
   /// Returns what peers should know and this daemon learnt since the last call;
   /// bounded.
-  quarantine_news TakeNews(time_point now);
+  quarantine_update TakeUpdate(time_point now);
   /// The crashes of quarantined requests, which peers may have missed; bounded.
-  std::vector<crash_news> ListStanding(time_point now) const;
+  std::vector<crash_report> ListActiveCrashes(time_point now) const;
   /// Quarantined requests under which this daemon saw a crash itself.
   std::vector<quarantine_record> ListOwn(time_point now) const;
   /// What changed by this daemon's own runs, and which requests are
--- a/include/cuminswitch/Admission/upstream_limits.h
+++ b/include/cuminswitch/Admission/upstream_limits.h
@@ -34,7 +34,7 @@
 class upstream_limits {
  public:
   /// What became known by an answer or by a peer.
-  enum class change : uint8_t { kNothing, kBegan, kChanged, kEnded };
+  enum class change : uint8_t { kNothing, kAdded, kChanged, kEnded };
 
   /// Takes in an answer to a request that was sent at \p sent. One whose limit
   /// cannot be read changes nothing.
@@ -43,7 +43,7 @@
                   time_point sent,
                   const limit_notice& notice);
   /// Takes in what a peer knows.
-  change OnNews(time_point now, const limit_news& news);
+  change OnUpdate(time_point now, const limit_update& news);
   /// Forgets the limit of an upstream that has started again.
   change Forget(uint64_t upstream);
   /// Ends limits that no answer has renewed for long; returns their upstreams.
@@ -55,7 +55,7 @@
   duration Age(time_point now, uint64_t upstream) const;
   /// What this daemon heard itself and, where \p passes_on, what peers told it,
   /// the latest change first; bounded.
-  std::vector<limit_news> ListNews(time_point now,
+  std::vector<limit_update> ListUpdates(time_point now,
                                    bool passes_on = false) const;
   /// Limits in force.
   size_t size() const;
--- a/include/cuminswitch/Core/request_router.h
+++ b/include/cuminswitch/Core/request_router.h
@@ -137,7 +137,7 @@
                                   time_point sent,
                                   const limit_notice& notice);
   /// Learns what a peer knows of an upstream's limit.
-  upstream_limits::change OnPeerLimit(time_point now, const limit_news& news);
+  upstream_limits::change OnPeerLimit(time_point now, const limit_update& news);
   /// Ends the limits that no answer has renewed for long; returns their
   /// upstreams.
   std::vector<uint64_t> ExpireLimits(time_point now);
--- a/include/cuminswitch/Edge/edge_task.h
+++ b/include/cuminswitch/Edge/edge_task.h
@@ -32,7 +32,7 @@
 class kernel;
 
 /// What the edge is told.
-using edge_message = fleet_news;
+using edge_message = fleet_event;
 
 /// Reads requests, lets the router decide, and carries its decisions out. The
 /// router runs in this task: a decision is a call, not a message.
--- a/include/cuminswitch/Fleet/crash_bulletin.h
+++ b/include/cuminswitch/Fleet/crash_bulletin.h
@@ -21,9 +21,9 @@
  public:
   void Add(const own_quarantine& own);
   /// Tells on what a peer told, unless it was told on before.
-  void Relay(time_point now, const quarantine_news& told);
+  void Relay(time_point now, const quarantine_update& told);
   /// What the next beat to \p peer tells.
-  quarantine_news TakeFor(time_point now, const endpoint& peer);
+  quarantine_update TakeFor(time_point now, const endpoint& peer);
 
  private:
   /// News, with when their age was taken.
@@ -38,11 +38,11 @@
   /// is told on; returns whether that is new.
   bool NoteRelayed(const hash128& request, uint64_t upstream, time_point at);
 
-  peer_update_log<dated<crash_news>, kCapacity> crashes_;
-  peer_update_log<dated<completion_news>, kCapacity> completions_;
+  peer_update_log<dated<crash_report>, kCapacity> crashes_;
+  peer_update_log<dated<completion_report>, kCapacity> completions_;
   /// When what was told on last happened, by request and upstream.
   std::map<std::pair<hash128, uint64_t>, time_point> relayed_;
-  std::vector<crash_news> standing_;
+  std::vector<crash_report> standing_;
   time_point standing_at_{};
   /// When each peer was last told what stands.
   std::map<endpoint, time_point> told_standing_;
--- a/include/cuminswitch/Fleet/fleet_knowledge.h
+++ b/include/cuminswitch/Fleet/fleet_knowledge.h
@@ -47,7 +47,7 @@
 using upstream_ref = std::shared_ptr<const upstream_entry>;
 
 /// What the store says of one upstream now.
-struct upstream_news {
+struct upstream_entry_update {
   std::string id;
   /// Null where it has no entry that can be read.
   upstream_ref entry;
@@ -81,7 +81,7 @@
 struct decoded_items {
   /// Null where all of it is as it was.
   std::shared_ptr<const fleet_snapshot> knowledge;
-  std::vector<upstream_news> upstreams;
+  std::vector<upstream_entry_update> upstreams;
   /// The keys that said so.
   std::vector<std::string> news;
 };
--- a/include/cuminswitch/Fleet/fleet_message.h
+++ b/include/cuminswitch/Fleet/fleet_message.h
@@ -32,16 +32,16 @@
 };
 /// What upstreams told this daemon of the rate that they take.
 struct own_limits {
-  std::vector<limit_news> limits;
+  std::vector<limit_update> limits;
   /// As of when their ages are.
   time_point at{};
 };
 /// What this daemon knows of requests that may crash upstreams.
 struct own_quarantine {
   /// Learnt since it last told.
-  quarantine_news news;
+  quarantine_update update;
   /// What peers may have missed.
-  std::vector<crash_news> standing;
+  std::vector<crash_report> active_crashes;
   /// What has to be known also when no daemon of now is left.
   std::vector<quarantine_record> quarantined;
   /// As of when the ages are.
@@ -81,11 +81,11 @@
 /// What upstreams told a peer of the rate that they take.
 struct peer_limits {
   std::string peer;
-  std::vector<limit_news> limits;
+  std::vector<limit_update> limits;
 };
 /// What a peer knows of requests that may crash upstreams.
 struct peer_quarantine {
-  quarantine_news news;
+  quarantine_update update;
 };
 /// Whether it is unknown for a while if the store holds something newer.
 struct items_staleness {
@@ -95,7 +95,7 @@
 struct weights_changing {
   std::vector<std::string> upstreams;
 };
-using fleet_news = std::variant<fleet_snapshot_changed,
+using fleet_event = std::variant<fleet_snapshot_changed,
                                 upstreams_changed,
                                 peers_changed,
                                 weights_changing,
--- a/include/cuminswitch/Fleet/member_bulletin.h
+++ b/include/cuminswitch/Fleet/member_bulletin.h
@@ -29,14 +29,14 @@
   static constexpr size_t kDepartureSendCount = 24;
 
   /// Takes in \p news in place of what is kept of that member.
-  void Add(const member_news& news);
+  void Add(const member_update& news);
   /// Returns up to \p count for one beat, those told least first.
-  std::vector<member_news> Take(size_t count);
+  std::vector<member_update> Take(size_t count);
   bool IsEmpty() const { return kept_.empty(); }
 
  private:
   struct kept_news {
-    member_news news;
+    member_update news;
     size_t tellings = 0;
   };
 
--- a/include/cuminswitch/Fleet/peer_frame.h
+++ b/include/cuminswitch/Fleet/peer_frame.h
@@ -58,7 +58,7 @@
 };
 
 /// What one daemon tells another of a third one.
-struct member_news {
+struct member_update {
   /// As the third one described itself; of one that is suspected only the name,
   /// the incarnation and the version count.
   daemon_record record;
@@ -81,12 +81,12 @@
   /// The sender's traffic of late.
   prompt_mix mix;
   /// What upstreams told the sender of the rate that they take.
-  std::vector<limit_news> limits;
+  std::vector<limit_update> limits;
   /// What the sender knows of requests that may crash upstreams.
-  quarantine_news quarantine;
+  quarantine_update quarantine;
   /// The receiver is to watch the sender, which beats it in every round.
   bool is_watched = false;
-  std::vector<member_news> members;
+  std::vector<member_update> members;
   /// When the sender's items were last known to be complete.
   std::optional<store_evidence> freshness;
 };
--- a/include/cuminswitch/Fleet/peer_roster.h
+++ b/include/cuminswitch/Fleet/peer_roster.h
@@ -88,7 +88,7 @@
     return watchers_.contains(address);
   }
   /// Returns the news of members for a beat to \p address.
-  std::vector<member_news> TakeMemberUpdates(time_point now,
+  std::vector<member_update> TakeMemberUpdates(time_point now,
                                           const endpoint& address);
   /// Returns the names of the peers that came under suspicion since the last
   /// call.
@@ -170,8 +170,8 @@
   bool IsLarge() const;
   duration Horizon() const;
   /// Takes in what another daemon tells of a third one.
-  void OnMemberNews(time_point now, const member_news& news);
-  void OnSelfNews(const member_news& news);
+  void OnMemberNews(time_point now, const member_update& news);
+  void OnSelfNews(const member_update& news);
   /// Suspects the peers that this daemon watches and does not hear.
   void SuspectSilent(time_point now);
   /// Watches those whose watchers have all died together with them, and who
--- a/include/cuminswitch/Fleet/upstream_directory.h
+++ b/include/cuminswitch/Fleet/upstream_directory.h
@@ -52,7 +52,7 @@
   /// Takes in what the store says of an upstream. An entry that goes missing is
   /// kept where \p window says that it may have lapsed.
   void Take(time_point now,
-            const upstream_news& news,
+            const upstream_entry_update& news,
             const lapse_window& window);
   /// Drops entries that were kept, and have not lapsed by what is known now.
   void Expire(time_point now, const lapse_window& window);
--- a/include/cuminswitch/Protocol/crash_news.h
+++ b/include/cuminswitch/Protocol/crash_news.h
@@ -14,7 +14,7 @@
 namespace cuminswitch {
 
 /// A run broke off at an upstream, as it does where the upstream crashes.
-struct crash_news {
+struct crash_report {
   /// Digest of the request.
   hash128 request;
   /// Stands for the one start of the upstream.
@@ -26,16 +26,16 @@
 };
 
 /// A run of a request came to its end.
-struct completion_news {
+struct completion_report {
   hash128 request;
   /// Since it was sent.
   duration age{0};
 };
 
 /// What daemons tell one another of requests that may crash upstreams.
-struct quarantine_news {
-  std::vector<crash_news> crashes;
-  std::vector<completion_news> completions;
+struct quarantine_update {
+  std::vector<crash_report> crashes;
+  std::vector<completion_report> completions;
   bool IsEmpty() const { return crashes.empty() && completions.empty(); }
 };
 
--- a/include/cuminswitch/Protocol/upstream_notice.h
+++ b/include/cuminswitch/Protocol/upstream_notice.h
@@ -33,7 +33,7 @@
 };
 
 /// What a daemon knows of an upstream's limit, for its peers.
-struct limit_news {
+struct limit_update {
   /// Hash of the upstream's name.
   uint64_t upstream = 0;
   /// Requests a second; nothing counts of it where the limit has ended.
--- a/lib/Admission/request_quarantine.cc
+++ b/lib/Admission/request_quarantine.cc
@@ -199,8 +199,8 @@
   Complete(now, request, sent, crash_source::kOwn);
 }
 
-void request_quarantine::OnNews(time_point now, const quarantine_news& news) {
-  for (const crash_news& item : news.crashes) {
+void request_quarantine::OnUpdate(time_point now, const quarantine_update& news) {
+  for (const crash_report& item : news.crashes) {
     if (item.age < kTellTime) {
       Add(now, item.request,
           {.upstream = item.upstream,
@@ -208,7 +208,7 @@
            .at = now - item.age});
     }
   }
-  for (const completion_news& item : news.completions) {
+  for (const completion_report& item : news.completions) {
     Complete(now, item.request, now - item.age, crash_source::kPeer);
   }
 }
@@ -284,8 +284,8 @@
   return left > duration(0) ? std::optional(left) : std::nullopt;
 }
 
-quarantine_news request_quarantine::TakeNews(time_point now) {
-  quarantine_news news;
+quarantine_update request_quarantine::TakeUpdate(time_point now) {
+  quarantine_update news;
   for (const pending_crash& item : std::exchange(pending_crashes_, {})) {
     news.crashes.push_back({.request = item.request,
                             .upstream = item.seen.upstream,
@@ -300,8 +300,8 @@
   return news;
 }
 
-std::vector<crash_news> request_quarantine::ListStanding(time_point now) const {
-  std::vector<crash_news> standing;
+std::vector<crash_report> request_quarantine::ListActiveCrashes(time_point now) const {
+  std::vector<crash_report> standing;
   for (const hash128& request : quarantined_) {
     if (!TimeLeft(now, request)) {
       continue;
--- a/lib/Admission/upstream_limits.cc
+++ b/lib/Admission/upstream_limits.cc
@@ -46,7 +46,7 @@
   known.rate = next;
   known.has_ended = false;
   known.changed_at = now;
-  return was_in_force ? change::kChanged : change::kBegan;
+  return was_in_force ? change::kChanged : change::kAdded;
 }
 
 upstream_limits::change upstream_limits::End(time_point now,
@@ -81,8 +81,8 @@
   return change::kNothing;
 }
 
-upstream_limits::change upstream_limits::OnNews(time_point now,
-                                                const limit_news& news) {
+upstream_limits::change upstream_limits::OnUpdate(time_point now,
+                                                const limit_update& news) {
   const statement told{.upstream = news.upstream, .at = now - news.age};
   return news.has_ended ? End(now, told) : Name(now, told, news.rate);
 }
@@ -129,13 +129,13 @@
   return found == known_.end() ? duration(0) : now - found->second.told_at;
 }
 
-std::vector<limit_news> upstream_limits::ListNews(time_point now,
+std::vector<limit_update> upstream_limits::ListUpdates(time_point now,
                                                   bool passes_on) const {
-  std::vector<std::pair<time_point, limit_news>> all;
+  std::vector<std::pair<time_point, limit_update>> all;
   for (const auto& [upstream, known] : known_) {
     if (known.is_first_hand || passes_on) {
       all.emplace_back(known.changed_at,
-                       limit_news{.upstream = upstream,
+                       limit_update{.upstream = upstream,
                                   .rate = known.rate,
                                   .has_ended = known.has_ended,
                                   .age = now - known.told_at});
@@ -145,7 +145,7 @@
     return a.first != b.first ? a.first > b.first
                               : a.second.upstream < b.second.upstream;
   });
-  std::vector<limit_news> news;
+  std::vector<limit_update> news;
   for (const auto& [at, item] : all) {
     if (news.size() < kMaxNews) {
       news.push_back(item);
--- a/lib/Core/request_permits.cc
+++ b/lib/Core/request_permits.cc
@@ -112,8 +112,8 @@
 }
 
 upstream_limits::change request_router::OnPeerLimit(time_point now,
-                                                    const limit_news& news) {
-  const auto what = limits_.OnNews(now, news);
+                                                    const limit_update& news) {
+  const auto what = limits_.OnUpdate(now, news);
   NoteLimitChange(news.upstream, what);
   return what;
 }
--- a/lib/Edge/edge_limits.cc
+++ b/lib/Edge/edge_limits.cc
@@ -19,7 +19,7 @@
 
 static std::string_view EventName(upstream_limits::change what) {
   switch (what) {
-    case upstream_limits::change::kBegan:
+    case upstream_limits::change::kAdded:
       return "limit_named";
     case upstream_limits::change::kChanged:
       return "limit_changed";
@@ -51,13 +51,13 @@
 
 void edge_task::Take(const peer_limits& news) {
   const time_point now = ReadBootClock();
-  for (const limit_news& item : news.limits) {
+  for (const limit_update& item : news.limits) {
     LogLimit(router_.OnPeerLimit(now, item), item.upstream, news.peer);
   }
 }
 
 void edge_task::TellLimits(time_point now) {
-  std::vector<limit_news> news = router_.limits().ListNews(now, passes_on_);
+  std::vector<limit_update> news = router_.limits().ListUpdates(now, passes_on_);
   // Once more when there are none left, so that no old ones are told.
   if (!news.empty() || told_limits_) {
     told_limits_ = !news.empty();
--- a/lib/Edge/edge_quarantine.cc
+++ b/lib/Edge/edge_quarantine.cc
@@ -34,20 +34,20 @@
 }
 
 void edge_task::Take(const peer_quarantine& item) {
-  router_.quarantine().OnNews(ReadBootClock(), item.news);
+  router_.quarantine().OnUpdate(ReadBootClock(), item.update);
   LogQuarantines();
 }
 
 void edge_task::TellQuarantine(time_point now) {
   LogQuarantines();
   request_quarantine& quarantine = router_.quarantine();
-  own_quarantine own{.news = quarantine.TakeNews(now),
-                     .standing = quarantine.ListStanding(now),
+  own_quarantine own{.update = quarantine.TakeUpdate(now),
+                     .active_crashes = quarantine.ListActiveCrashes(now),
                      .quarantined = quarantine.ListOwn(now),
                      .at = now};
   // Once more when there are none left, so that no old ones are told.
-  const bool is_standing = !own.standing.empty();
-  if (!own.news.IsEmpty() || is_standing || told_quarantine_) {
+  const bool is_standing = !own.active_crashes.empty();
+  if (!own.update.IsEmpty() || is_standing || told_quarantine_) {
     told_quarantine_ = is_standing;
     services_.FindPort<fleet_message>(kFleetService).Post(std::move(own));
   }
--- a/lib/Fleet/crash_bulletin.cc
+++ b/lib/Fleet/crash_bulletin.cc
@@ -13,17 +13,17 @@
 static constexpr duration kSameTime = std::chrono::seconds(1);
 
 void crash_update_queue::Add(const own_quarantine& own) {
-  std::vector<dated<crash_news>> crashes;
-  for (const crash_news& item : own.news.crashes) {
+  std::vector<dated<crash_report>> crashes;
+  for (const crash_report& item : own.update.crashes) {
     crashes.push_back({.news = item, .at = own.at});
   }
   crashes_.Add(crashes);
-  std::vector<dated<completion_news>> completions;
-  for (const completion_news& item : own.news.completions) {
+  std::vector<dated<completion_report>> completions;
+  for (const completion_report& item : own.update.completions) {
     completions.push_back({.news = item, .at = own.at});
   }
   completions_.Add(completions);
-  standing_ = own.standing;
+  standing_ = own.active_crashes;
   standing_at_ = own.at;
 }
 
@@ -52,16 +52,16 @@
   return true;
 }
 
-void crash_update_queue::Relay(time_point now, const quarantine_news& told) {
-  std::vector<dated<crash_news>> crashes;
-  for (const crash_news& item : told.crashes) {
+void crash_update_queue::Relay(time_point now, const quarantine_update& told) {
+  std::vector<dated<crash_report>> crashes;
+  for (const crash_report& item : told.crashes) {
     if (NoteRelayed(item.request, item.upstream, now - item.age)) {
       crashes.push_back({.news = item, .at = now});
     }
   }
   crashes_.Add(crashes);
-  std::vector<dated<completion_news>> completions;
-  for (const completion_news& item : told.completions) {
+  std::vector<dated<completion_report>> completions;
+  for (const completion_report& item : told.completions) {
     if (NoteRelayed(item.request, 0, now - item.age)) {
       completions.push_back({.news = item, .at = now});
     }
@@ -69,13 +69,13 @@
   completions_.Add(completions);
 }
 
-quarantine_news crash_update_queue::TakeFor(time_point now, const endpoint& peer) {
-  quarantine_news news;
-  for (dated<crash_news>& item : crashes_.TakeFor(peer)) {
+quarantine_update crash_update_queue::TakeFor(time_point now, const endpoint& peer) {
+  quarantine_update news;
+  for (dated<crash_report>& item : crashes_.TakeFor(peer)) {
     item.news.age += now - item.at;
     news.crashes.push_back(item.news);
   }
-  for (dated<completion_news>& item : completions_.TakeFor(peer)) {
+  for (dated<completion_report>& item : completions_.TakeFor(peer)) {
     item.news.age += now - item.at;
     news.completions.push_back(item.news);
   }
@@ -86,7 +86,7 @@
   const auto [told, is_first] = told_standing_.try_emplace(peer, now);
   if (is_first || now - told->second >= kStandingInterval) {
     told->second = now;
-    for (crash_news item : standing_) {
+    for (crash_report item : standing_) {
       item.age += now - standing_at_;
       news.crashes.push_back(item);
     }
--- a/lib/Fleet/fleet_publishing.cc
+++ b/lib/Fleet/fleet_publishing.cc
@@ -52,7 +52,7 @@
   published_at_work_ = possibly_active;
   NotePeerChanges(living);
   duty_.OnPeers(options_.self, living);
-  services_.FindPort<fleet_news>(kEdgeService)
+  services_.FindPort<fleet_event>(kEdgeService)
       .Post(peers_changed{.alive = living,
                           .known = roster_.CountKnown(),
                           .possibly_active = possibly_active,
@@ -72,7 +72,7 @@
                       .Add("staleness_ms", staleness)
                       .Add("revision", feed_.view().revision())
                       .Add("follows", feed_.IsFollowing()));
-  services_.FindPort<fleet_news>(kEdgeService)
+  services_.FindPort<fleet_event>(kEdgeService)
       .Post(items_staleness{.is_stale = is_stale});
 }
 
@@ -188,7 +188,7 @@
       upstream_changes_.Add(Describe(*item.after));
     }
   }
-  services_.FindPort<fleet_news>(kEdgeService)
+  services_.FindPort<fleet_event>(kEdgeService)
       .Post(upstreams_changed{.changes = std::move(changes),
                               .unreadable = unreadable,
                               .revision = feed_.view().revision()});
@@ -212,7 +212,7 @@
   if (is_other_order) {
     LogKnowledge(with_.log, *next);
   }
-  services_.FindPort<fleet_news>(kEdgeService)
+  services_.FindPort<fleet_event>(kEdgeService)
       .Post(fleet_snapshot_changed{.knowledge = std::move(next)});
   RunRollout(ReadBootClock());
   if (is_new_plan) {
@@ -231,7 +231,7 @@
   }
   if (changing != published_changing_) {
     published_changing_ = changing;
-    services_.FindPort<fleet_news>(kEdgeService)
+    services_.FindPort<fleet_event>(kEdgeService)
         .Post(weights_changing{.upstreams = std::move(changing)});
   }
 }
--- a/lib/Fleet/fleet_task.cc
+++ b/lib/Fleet/fleet_task.cc
@@ -125,9 +125,9 @@
   } else if (const auto* request = std::get_if<items_request_frame>(&*frame)) {
     OnItemsRequest(*request);
   } else if (const auto* ask = std::get_if<quota_query>(&*frame)) {
-    services_.FindPort<fleet_news>(kEdgeService).Post(*ask);
+    services_.FindPort<fleet_event>(kEdgeService).Post(*ask);
   } else if (const auto* verdict = std::get_if<quota_reply>(&*frame)) {
-    services_.FindPort<fleet_news>(kEdgeService).Post(*verdict);
+    services_.FindPort<fleet_event>(kEdgeService).Post(*verdict);
   } else {
     OnItemsReply(std::get<items_reply_frame>(*frame));
   }
@@ -147,21 +147,21 @@
     leader_changing_at_ = now;
     PublishChanging();
   }
-  services_.FindPort<fleet_news>(kEdgeService)
+  services_.FindPort<fleet_event>(kEdgeService)
       .Post(peer_placements{.peer = beat.sender.name,
                             .mix = beat.mix,
                             .backlogs = beat.backlogs,
                             .prefixes = beat.prefixes});
   if (!beat.limits.empty()) {
-    services_.FindPort<fleet_news>(kEdgeService)
+    services_.FindPort<fleet_event>(kEdgeService)
         .Post(peer_limits{.peer = beat.sender.name, .limits = beat.limits});
   }
   if (!beat.quarantine.IsEmpty()) {
     if (roster_.IsPartial()) {
       crash_bulletin_.Relay(now, beat.quarantine);
     }
-    services_.FindPort<fleet_news>(kEdgeService)
-        .Post(peer_quarantine{.news = beat.quarantine});
+    services_.FindPort<fleet_event>(kEdgeService)
+        .Post(peer_quarantine{.update = beat.quarantine});
   }
   if (is_news) {
     PublishPeers(now);
@@ -218,7 +218,7 @@
                   .is_watched = roster_.IsWatcher(to),
                   .members = roster_.TakeMemberUpdates(now, to),
                   .freshness = staleness_.Youngest(now)};
-  for (limit_news& item : beat.limits) {
+  for (limit_update& item : beat.limits) {
     item.age += now - own_limits_.at;
   }
   if (election_.IsLeading(now)) {
@@ -309,7 +309,7 @@
   decoded_items decoded = with_.decoder.Decode(feed_.view(), keys);
   feed_.MarkNews(decoded.news);
   const time_point now = ReadBootClock();
-  for (const upstream_news& news : decoded.upstreams) {
+  for (const upstream_entry_update& news : decoded.upstreams) {
     upstreams_.Take(now, news, lapsed_.Window());
   }
   // Before a first configuration, with which the daemon begins to serve.
--- a/lib/Fleet/member_bulletin.cc
+++ b/lib/Fleet/member_bulletin.cc
@@ -2,7 +2,7 @@
 
 namespace cuminswitch {
 
-void member_update_queue::Add(const member_news& news) {
+void member_update_queue::Add(const member_update& news) {
   const std::string& name = news.record.name;
   kept_news& kept = kept_[name];
   order_.erase({kept.tellings, name});
@@ -10,7 +10,7 @@
   order_.emplace(0, name);
 }
 
-std::vector<member_news> member_update_queue::Take(size_t count) {
+std::vector<member_update> member_update_queue::Take(size_t count) {
   std::vector<std::pair<size_t, std::string>> chosen;
   for (const auto& item : order_) {
     if (chosen.size() >= count) {
@@ -18,12 +18,12 @@
     }
     chosen.push_back(item);
   }
-  std::vector<member_news> news;
+  std::vector<member_update> news;
   for (const auto& item : chosen) {
     const auto found = kept_.find(item.second);
     news.push_back(found->second.news);
     order_.erase(item);
-    const member_news& told = found->second.news;
+    const member_update& told = found->second.news;
     const size_t most = told.is_suspected || told.record.is_leaving
                             ? kDepartureSendCount
                             : kSendCount;
--- a/lib/Fleet/peer_frame.cc
+++ b/lib/Fleet/peer_frame.cc
@@ -41,7 +41,7 @@
 
 /// Returns whether the news make sense.
 static bool ReadQuarantineNews(const fleet_wire::beat& wire,
-                               quarantine_news& news) {
+                               quarantine_update& news) {
   if (wire.crashes() != nullptr) {
     for (const fleet_wire::crash* item : *wire.crashes()) {
       if (!IsAge(item->age_us()) || !IsAge(item->took_us())) {
@@ -68,8 +68,8 @@
 }
 
 /// Returns nothing for a member that is not described whole.
-static std::optional<member_news> ReadMember(const fleet_wire::member& wire) {
-  member_news news{.record = {.name = wire.daemon()->str(),
+static std::optional<member_update> ReadMember(const fleet_wire::member& wire) {
+  member_update news{.record = {.name = wire.daemon()->str(),
                               .incarnation = wire.incarnation(),
                               .version = wire.version()},
                    .is_suspected = wire.is_suspected()};
@@ -105,7 +105,7 @@
     return false;
   }
   for (const fleet_wire::member* item : *wire.members()) {
-    std::optional<member_news> news = ReadMember(*item);
+    std::optional<member_update> news = ReadMember(*item);
     if (!news) {
       return false;
     }
--- a/lib/Fleet/peer_frame_writer.cc
+++ b/lib/Fleet/peer_frame_writer.cc
@@ -57,22 +57,22 @@
                             item.saved_weights);
     }
     std::vector<fleet_wire::limit> limits;
-    for (const limit_news& item : frame.limits) {
+    for (const limit_update& item : frame.limits) {
       limits.emplace_back(item.upstream, item.rate, item.age.count(),
                           item.has_ended);
     }
     std::vector<fleet_wire::crash> crashes;
-    for (const crash_news& item : frame.quarantine.crashes) {
+    for (const crash_report& item : frame.quarantine.crashes) {
       crashes.emplace_back(item.request.high, item.request.low, item.upstream,
                            item.age.count(), item.took.count());
     }
     std::vector<fleet_wire::completion> completions;
-    for (const completion_news& item : frame.quarantine.completions) {
+    for (const completion_report& item : frame.quarantine.completions) {
       completions.emplace_back(item.request.high, item.request.low,
                                item.age.count());
     }
     std::vector<flatbuffers::Offset<fleet_wire::member>> members;
-    for (const member_news& item : frame.members) {
+    for (const member_update& item : frame.members) {
       members.push_back(WriteMember(item));
     }
     const fleet_wire::prompt_mix mix(
@@ -148,7 +148,7 @@
   }
 
  private:
-  flatbuffers::Offset<fleet_wire::member> WriteMember(const member_news& news) {
+  flatbuffers::Offset<fleet_wire::member> WriteMember(const member_update& news) {
     const daemon_record& record = news.record;
     const auto name = out_.CreateString(record.name);
     if (news.is_suspected) {
--- a/lib/Fleet/peer_roster.cc
+++ b/lib/Fleet/peer_roster.cc
@@ -102,13 +102,13 @@
       bulletin_.Add({.record = sender});
     }
   }
-  for (const member_news& news : beat.members) {
+  for (const member_update& news : beat.members) {
     OnMemberNews(now, news);
   }
   return is_news;
 }
 
-void peer_table::OnMemberNews(time_point now, const member_news& news) {
+void peer_table::OnMemberNews(time_point now, const member_update& news) {
   const daemon_record& record = news.record;
   if (record.name == options_.self_name) {
     OnSelfNews(news);
@@ -152,7 +152,7 @@
   must_choose_watchers_ = true;
 }
 
-void peer_table::OnSelfNews(const member_news& news) {
+void peer_table::OnSelfNews(const member_update& news) {
   if (news.is_suspected &&
       news.record.incarnation == options_.self_incarnation &&
       news.record.version >= self_version_) {
@@ -206,9 +206,9 @@
   }
 }
 
-std::vector<member_news> peer_table::TakeMemberUpdates(time_point now,
+std::vector<member_update> peer_table::TakeMemberUpdates(time_point now,
                                                      const endpoint& address) {
-  std::vector<member_news> news = bulletin_.Take(kMemberNewsPerBeat);
+  std::vector<member_update> news = bulletin_.Take(kMemberNewsPerBeat);
   if (IsPartial() && news.size() < kMemberNewsPerBeat) {
     // Whoever missed a piece of news learns it so, sooner or later.
     for (const peer* item : NextLiving(now, 1)) {
--- a/lib/Fleet/upstream_directory.cc
+++ b/lib/Fleet/upstream_directory.cc
@@ -31,7 +31,7 @@
 }
 
 void upstream_directory::Take(time_point now,
-                              const upstream_news& news,
+                              const upstream_entry_update& news,
                               const lapse_window& window) {
   unreadable_.erase(news.id);
   if (news.entry != nullptr) {
--- a/unittests/Admission/quarantine_fleet_test.cc
+++ b/unittests/Admission/quarantine_fleet_test.cc
@@ -59,7 +59,7 @@
     }
     while (!mail_.empty() && mail_.top().at <= now_) {
       const letter& item = mail_.top();
-      tables_[item.to].OnNews(now_, *item.news);
+      tables_[item.to].OnUpdate(now_, *item.news);
       mail_.pop();
     }
   }
@@ -82,16 +82,16 @@
   struct letter {
     time_point at{};
     size_t to = 0;
-    std::shared_ptr<const quarantine_news> news;
+    std::shared_ptr<const quarantine_update> news;
     bool operator<(const letter& other) const { return at > other.at; }
   };
 
   void Tell(size_t daemon) {
     const auto news =
-        std::make_shared<quarantine_news>(tables_[daemon].TakeNews(now_));
+        std::make_shared<quarantine_update>(tables_[daemon].TakeUpdate(now_));
     if (now_ - told_standing_[daemon] >= options_.standing) {
       told_standing_[daemon] = now_;
-      for (const crash_news& item : tables_[daemon].ListStanding(now_)) {
+      for (const crash_report& item : tables_[daemon].ListActiveCrashes(now_)) {
         news->crashes.push_back(item);
       }
     }
--- a/unittests/Admission/request_quarantine_test.cc
+++ b/unittests/Admission/request_quarantine_test.cc
@@ -42,7 +42,7 @@
     quarantine_.OnCompleted(now_, request, sent);
   }
   void Tell(uint64_t upstream, duration age = duration(0)) {
-    quarantine_.OnNews(now_, {.crashes = {{.request = kRequest,
+    quarantine_.OnUpdate(now_, {.crashes = {{.request = kRequest,
                                            .upstream = upstream,
                                            .age = age,
                                            .took = kRun}},
@@ -101,20 +101,20 @@
 
 TEST_F(request_quarantine_test, EachNewsIsTakenOnce) {
   Crash(1);
-  const auto news = quarantine_.TakeNews(now_ + seconds(2)).crashes;
+  const auto news = quarantine_.TakeUpdate(now_ + seconds(2)).crashes;
   ASSERT_EQ(news.size(), 1U);
   EXPECT_EQ(news[0].upstream, 1U);
   EXPECT_EQ(news[0].age, seconds(2));
   EXPECT_EQ(news[0].took, kRun);
-  EXPECT_TRUE(quarantine_.TakeNews(now_).IsEmpty());
+  EXPECT_TRUE(quarantine_.TakeUpdate(now_).IsEmpty());
 }
 
 // A witness may be gone the next moment.
 TEST_F(request_quarantine_test, WhatAddsUpIsPassedOnNoYounger) {
   Tell(2, seconds(3));
-  EXPECT_TRUE(quarantine_.TakeNews(now_).IsEmpty());
+  EXPECT_TRUE(quarantine_.TakeUpdate(now_).IsEmpty());
   Tell(3, seconds(1));
-  const auto news = quarantine_.TakeNews(now_ + seconds(2)).crashes;
+  const auto news = quarantine_.TakeUpdate(now_ + seconds(2)).crashes;
   ASSERT_EQ(news.size(), 1U);
   EXPECT_EQ(news[0].upstream, 3U);
   EXPECT_EQ(news[0].age, seconds(3));
@@ -124,7 +124,7 @@
   Crash(5, kOther);
   CrashThree();
   now_ += seconds(300);
-  EXPECT_EQ(quarantine_.ListStanding(now_).size(), 3U);
+  EXPECT_EQ(quarantine_.ListActiveCrashes(now_).size(), 3U);
   EXPECT_EQ(quarantine_.ListOwn(now_).size(), 1U);
 }
 
@@ -137,7 +137,7 @@
   EXPECT_FALSE(IsHeldBack());
   Tell(3);
   EXPECT_FALSE(IsHeldBack()) << "a peer has not heard of it yet";
-  EXPECT_TRUE(quarantine_.ListStanding(now_).empty());
+  EXPECT_TRUE(quarantine_.ListActiveCrashes(now_).empty());
   Crash(4);
   EXPECT_TRUE(IsHeldBack());
 }
@@ -166,7 +166,7 @@
   Crash(2);
   now_ += milliseconds(1);
   Complete(kRequest, now_);
-  const auto news = quarantine_.TakeNews(now_ + seconds(1));
+  const auto news = quarantine_.TakeUpdate(now_ + seconds(1));
   ASSERT_EQ(news.completions.size(), 1U);
   EXPECT_EQ(news.completions[0].age, seconds(1));
 
@@ -177,7 +177,7 @@
                  now_ - age - kRun);
   }
   EXPECT_TRUE(peer.TimeLeft(now_, kRequest));
-  peer.OnNews(now_ + seconds(1), news);
+  peer.OnUpdate(now_ + seconds(1), news);
   EXPECT_FALSE(peer.TimeLeft(now_, kRequest));
 }
 
@@ -229,7 +229,7 @@
   }
   EXPECT_TRUE(IsHeldBack());
   EXPECT_LE(quarantine_.size(), 4096U);
-  EXPECT_LE(quarantine_.TakeNews(now_).crashes.size(), 16U);
+  EXPECT_LE(quarantine_.TakeUpdate(now_).crashes.size(), 16U);
 }
 
 }  // namespace
--- a/unittests/Admission/upstream_limits_test.cc
+++ b/unittests/Admission/upstream_limits_test.cc
@@ -20,7 +20,7 @@
 TEST(upstream_limits_test, ALimitBeginsChangesAndEnds) {
   upstream_limits limits;
   EXPECT_EQ(limits.OnAnswer(At(0), kUpstream, At(-1), {}), change::kNothing);
-  EXPECT_EQ(limits.OnAnswer(At(1), kUpstream, At(0), Named(2)), change::kBegan);
+  EXPECT_EQ(limits.OnAnswer(At(1), kUpstream, At(0), Named(2)), change::kAdded);
   EXPECT_EQ(limits.OnAnswer(At(2), kUpstream, At(1), Named(2)),
             change::kNothing);
   EXPECT_EQ(limits.OnAnswer(At(3), kUpstream, At(2), Named(0.5)),
@@ -56,20 +56,20 @@
 
 TEST(upstream_limits_test, TheYoungerNewsOfAPeerCounts) {
   upstream_limits limits;
-  EXPECT_EQ(limits.OnNews(At(2), {.upstream = kUpstream,
+  EXPECT_EQ(limits.OnUpdate(At(2), {.upstream = kUpstream,
                                   .rate = 4,
                                   .age = std::chrono::seconds(1)}),
-            change::kBegan);
-  EXPECT_EQ(limits.OnNews(At(2), {.upstream = kUpstream,
+            change::kAdded);
+  EXPECT_EQ(limits.OnUpdate(At(2), {.upstream = kUpstream,
                                   .has_ended = true,
                                   .age = std::chrono::seconds(2)}),
             change::kNothing);
-  EXPECT_EQ(limits.OnNews(At(2), {.upstream = kUpstream,
+  EXPECT_EQ(limits.OnUpdate(At(2), {.upstream = kUpstream,
                                   .rate = 9,
                                   .age = std::chrono::seconds(3)}),
             change::kNothing);
   EXPECT_EQ(limits.Find(kUpstream), 4);
-  EXPECT_EQ(limits.OnNews(At(3), {.upstream = kUpstream,
+  EXPECT_EQ(limits.OnUpdate(At(3), {.upstream = kUpstream,
                                   .has_ended = true,
                                   .age = std::chrono::milliseconds(100)}),
             change::kEnded);
@@ -77,9 +77,9 @@
 
 TEST(upstream_limits_test, OnlyWhatWasHeardFirstHandIsToldOn) {
   upstream_limits limits;
-  limits.OnNews(At(0), {.upstream = 1, .rate = 4});
+  limits.OnUpdate(At(0), {.upstream = 1, .rate = 4});
   limits.OnAnswer(At(0), 2, At(-1), Named(5));
-  const auto news = limits.ListNews(At(1));
+  const auto news = limits.ListUpdates(At(1));
   ASSERT_EQ(news.size(), 1U);
   EXPECT_EQ(news.front().upstream, 2U);
   EXPECT_EQ(news.front().rate, 5);
@@ -89,9 +89,9 @@
 // Where a daemon beats only some of its peers the others never hear of a limit.
 TEST(upstream_limits_test, WhatPeersToldIsPassedOnWithItsAge) {
   upstream_limits limits;
-  limits.OnNews(At(0),
+  limits.OnUpdate(At(0),
                 {.upstream = 1, .rate = 4, .age = std::chrono::seconds(2)});
-  const auto news = limits.ListNews(At(1), true);
+  const auto news = limits.ListUpdates(At(1), true);
   ASSERT_EQ(news.size(), 1U);
   EXPECT_EQ(news.front().rate, 4);
   EXPECT_EQ(news.front().age, std::chrono::seconds(3));
--- a/unittests/Fleet/peer_frame_test.cc
+++ b/unittests/Fleet/peer_frame_test.cc
@@ -216,10 +216,10 @@
 }
 
 TEST(peer_frame_test, ALimitWithoutSenseIsRefused) {
-  for (const limit_news& item :
-       {limit_news{.rate = std::nan("")}, limit_news{.rate = -1},
-        limit_news{.rate = 1, .age = duration(-1)},
-        limit_news{.rate = 1, .age = duration::max()}}) {
+  for (const limit_update& item :
+       {limit_update{.rate = std::nan("")}, limit_update{.rate = -1},
+        limit_update{.rate = 1, .age = duration(-1)},
+        limit_update{.rate = 1, .age = duration::max()}}) {
     heartbeat_frame beat = MakeBeat();
     beat.limits = {item};
     EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(beat))).has_value());
@@ -240,7 +240,7 @@
       .completions = {{.request = request, .age = std::chrono::seconds(6)}}};
   const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(beat)));
   ASSERT_TRUE(frame.has_value());
-  const quarantine_news& news = std::get<heartbeat_frame>(*frame).quarantine;
+  const quarantine_update& news = std::get<heartbeat_frame>(*frame).quarantine;
   ASSERT_EQ(news.crashes.size(), 1U);
   EXPECT_EQ(news.crashes[0].request, request);
   EXPECT_EQ(news.crashes[0].upstream, 3U);
@@ -271,7 +271,7 @@
 }
 
 /// A beat that tells of \p members.
-heartbeat_frame TellsOf(std::vector<member_news> members) {
+heartbeat_frame TellsOf(std::vector<member_update> members) {
   const endpoint address{"10.0.0.1", 7};
   return {.sender = {.name = "a",
                      .peer_address = address,
@@ -287,7 +287,7 @@
 }
 
 TEST(peer_frame_test, NewsOfMembersComeBack) {
-  const member_news lives{.record = {.name = "b",
+  const member_update lives{.record = {.name = "b",
                                      .incarnation = 5,
                                      .version = 3,
                                      .peer_address = {"10.0.0.2", 7},
@@ -295,7 +295,7 @@
                                      .failure_domain = "z",
                                      .link_rate = 20,
                                      .is_ready = true}};
-  const member_news silent{
+  const member_update silent{
       .record = {.name = "c", .incarnation = 6, .version = 9},
       .is_suspected = true};
   const auto frame = SendAndReceive(TellsOf({lives, silent}));
@@ -312,9 +312,9 @@
 
 // A peer that has gone wrong fills the lists of all others.
 TEST(peer_frame_test, NewsOfMembersWithoutSenseAreRefused) {
-  const member_news nowhere{.record = {.name = "b"}};
+  const member_update nowhere{.record = {.name = "b"}};
   EXPECT_FALSE(SendAndReceive(TellsOf({nowhere})).has_value());
-  const member_news silent{.record = {.name = "c"}, .is_suspected = true};
+  const member_update silent{.record = {.name = "c"}, .is_suspected = true};
   EXPECT_TRUE(SendAndReceive(TellsOf(std::vector(64, silent))).has_value());
   EXPECT_FALSE(SendAndReceive(TellsOf(std::vector(65, silent))).has_value());
 }
--- a/unittests/Fleet/upstream_directory_test.cc
+++ b/unittests/Fleet/upstream_directory_test.cc
@@ -45,7 +45,7 @@
       directory_.Take(now, News(entry), window);
     }
   }
-  static upstream_news News(const upstream_entry& entry) {
+  static upstream_entry_update News(const upstream_entry& entry) {
     return {.id = entry.id,
             .entry = std::make_shared<const upstream_entry>(entry)};
   }
--- a/unittests/PlatformAdapter/document_decoder_test.cc
+++ b/unittests/PlatformAdapter/document_decoder_test.cc
@@ -67,7 +67,7 @@
     if (decoded.knowledge != nullptr) {
       static_cast<fleet_snapshot&>(known_) = *decoded.knowledge;
     }
-    for (const upstream_news& news : decoded.upstreams) {
+    for (const upstream_entry_update& news : decoded.upstreams) {
       std::erase_if(known_.upstreams, [&](const upstream_entry& entry) {
         return entry.id == news.id;
       });
--- a/unittests/PlatformAdapter/fleet_growth_test.cc
+++ b/unittests/PlatformAdapter/fleet_growth_test.cc
@@ -99,7 +99,7 @@
     for (const std::string& key : decoded.news) {
       view_.MarkNews(key);
     }
-    for (const upstream_news& news : decoded.upstreams) {
+    for (const upstream_entry_update& news : decoded.upstreams) {
       directory_.Take(kNow, news, {});
     }
     std::vector<upstream_update> updates;
