--- a/include/cuminswitch/Fleet/fleet_task.h
+++ b/include/cuminswitch/Fleet/fleet_task.h
@@ -117,7 +117,7 @@
   weights_rollout rollout_;
   staleness_tracker staleness_;
   store_duty duty_;
-  lapsed_upstreams lapsed_;
+  store_outage_tracker lapsed_;
   quarantine_records quarantine_records_;
   std::unique_ptr<peer_transport> transport_;
   loop_timer beat_timer_;
--- a/include/cuminswitch/Fleet/item_feed.h
+++ b/include/cuminswitch/Fleet/item_feed.h
@@ -69,7 +69,7 @@
   void ReadAll();
   void Watch();
   void OnItems(bool is_complete, const store_items& answer);
-  void OnFailure(store_end end);
+  void OnFailure(store_status end);
   void OnSuccess();
 
   item_store& store_;
--- a/include/cuminswitch/Fleet/item_store.h
+++ b/include/cuminswitch/Fleet/item_store.h
@@ -16,7 +16,7 @@
 namespace cuminswitch {
 
 /// How a call to the store ended.
-enum class store_end : uint8_t {
+enum class store_status : uint8_t {
   kDone,
   /// The store did nothing: it is overloaded or turns this daemon away.
   kRefused,
@@ -31,13 +31,13 @@
   kHistoryGone,
 };
 
-std::string_view ToString(store_end value);
+std::string_view ToString(store_status value);
 
 using lease_number = uint64_t;
 
 /// The answer to a read or a watch.
 struct store_items {
-  store_end end = store_end::kUnknown;
+  store_status end = store_status::kUnknown;
   std::vector<item_change> items;
   /// The store's revision that the answer is as of.
   revision_number revision = 0;
@@ -45,14 +45,14 @@
 
 /// The answer to a lease call.
 struct store_lease {
-  store_end end = store_end::kUnknown;
+  store_status end = store_status::kUnknown;
   lease_number lease = 0;
   std::chrono::milliseconds time_to_live{0};
 };
 
 /// The answer to a write.
 struct store_write {
-  store_end end = store_end::kUnknown;
+  store_status end = store_status::kUnknown;
   revision_number revision = 0;
 };
 
--- a/include/cuminswitch/Fleet/lapsed_upstreams.h
+++ b/include/cuminswitch/Fleet/lapsed_upstreams.h
@@ -12,7 +12,7 @@
 namespace cuminswitch {
 
 /// Which removals from the store's list may be of upstreams that live.
-struct lapse_window {
+struct recovery_window {
   /// What is still missing then is gone.
   time_point until{};
   /// What was removed after this revision did not lapse.
@@ -31,7 +31,7 @@
 /// Daemons pass on a return of the store. Of one that several saw, the earliest
 /// time and revision hold, and a return is not believed where the store is
 /// known to have answered just before.
-class lapsed_upstreams {
+class store_outage_tracker {
  public:
   struct options {
     /// A hash of this daemon's process.
@@ -40,21 +40,21 @@
     duration least_outage = std::chrono::milliseconds(2400);
   };
 
-  explicit lapsed_upstreams(const options& opts) : options_(opts) {}
+  explicit store_outage_tracker(const options& opts) : options_(opts) {}
 
   /// The store answered this daemon at \p at, as of \p revision.
   void OnStoreAnswer(time_point at, revision_number revision);
   /// Takes in what a peer told of the store.
   void OnPeer(time_point now,
-              const awaited_entries& told,
-              const std::optional<store_evidence>& evidence);
+              const store_recovery& told,
+              const std::optional<freshness_record>& evidence);
   /// Whether the store is not known to have answered anybody for so long that
   /// entries may lapse. Nothing that is missing can come back meanwhile.
-  bool IsAway(time_point now) const;
+  bool IsStoreUnavailable(time_point now) const;
   /// The window of the last return of the store; over where there is none.
-  lapse_window Window() const;
+  recovery_window Window() const;
   /// Returns what to tell peers of it.
-  awaited_entries Awaits(time_point now) const;
+  store_recovery Recovery(time_point now) const;
 
  private:
   /// The first answer of the store to anybody after it had been away.
--- a/include/cuminswitch/Fleet/peer_frame.h
+++ b/include/cuminswitch/Fleet/peer_frame.h
@@ -24,7 +24,7 @@
 
 /// The store was away for all daemons and is back, so that entries of upstreams
 /// are missing that live.
-struct awaited_entries {
+struct store_recovery {
   /// Names the return of the store, as one daemon saw it; 0 for none.
   uint64_t event = 0;
   /// For how much longer entries may be missing.
@@ -32,8 +32,8 @@
   /// The store's at its return. What was removed later has not lapsed.
   revision_number revision = 0;
 
-  friend bool operator==(const awaited_entries&,
-                         const awaited_entries&) = default;
+  friend bool operator==(const store_recovery&,
+                         const store_recovery&) = default;
 };
 
 /// One daemon as it describes itself.
@@ -52,7 +52,7 @@
   bool is_leaving = false;
   /// The store answered it just now.
   bool has_store = false;
-  awaited_entries awaits;
+  store_recovery recovery;
   /// Everything up to this revision of the store is known to it.
   revision_number revision = 0;
 };
@@ -88,7 +88,7 @@
   bool is_watched = false;
   std::vector<member_update> members;
   /// When the sender's items were last known to be complete.
-  std::optional<store_evidence> freshness;
+  std::optional<freshness_record> freshness;
 };
 
 /// Asks for what changed after a revision.
--- a/include/cuminswitch/Fleet/staleness_tracker.h
+++ b/include/cuminswitch/Fleet/staleness_tracker.h
@@ -12,14 +12,14 @@
 namespace cuminswitch {
 
 /// An answer of the store that shows that nothing newer existed.
-struct store_evidence {
+struct freshness_record {
   /// Hash of the name of the daemon that the store answered.
-  uint64_t witness = 0;
+  uint64_t daemon_hash = 0;
   /// Time since the answer.
   duration age{0};
 
-  friend bool operator==(const store_evidence&,
-                         const store_evidence&) = default;
+  friend bool operator==(const freshness_record&,
+                         const freshness_record&) = default;
 };
 
 /// Tells a fleet in which nothing changes from one that no longer hears the
@@ -34,14 +34,14 @@
   void OnStoreAnswer(time_point at);
   /// A peer told \p told. Where \p is_behind, the peer knows more than this
   /// daemon, so that its evidence does not hold here.
-  void OnPeer(time_point now, const store_evidence& told, bool is_behind);
+  void OnPeer(time_point now, const freshness_record& told, bool is_behind);
   /// Returns the time since the items were last known to be complete.
   duration Staleness(time_point now) const { return now - complete_at_; }
   /// Returns the youngest evidence that holds here; nothing where there is
   /// none.
-  std::optional<store_evidence> Youngest(time_point now) const;
+  std::optional<freshness_record> MostRecent(time_point now) const;
   /// Whether the store is known to have answered \p witness within \p span.
-  bool WasAnswered(time_point now, uint64_t witness, duration span) const;
+  bool HasReachedStore(time_point now, uint64_t witness, duration span) const;
 
  private:
   uint64_t self_;
--- a/include/cuminswitch/Fleet/upstream_directory.h
+++ b/include/cuminswitch/Fleet/upstream_directory.h
@@ -18,7 +18,7 @@
 
 namespace cuminswitch {
 
-struct lapse_window;
+struct recovery_window;
 
 /// What changed of one upstream in use.
 struct upstream_change {
@@ -53,9 +53,9 @@
   /// kept where \p window says that it may have lapsed.
   void Take(time_point now,
             const upstream_entry_update& news,
-            const lapse_window& window);
+            const recovery_window& window);
   /// Drops entries that were kept, and have not lapsed by what is known now.
-  void Expire(time_point now, const lapse_window& window);
+  void Expire(time_point now, const recovery_window& window);
   bool HasKept() const { return !kept_.empty(); }
 
   /// Returns what changed since the last call.
--- a/lib/Fleet/fleet_publishing.cc
+++ b/lib/Fleet/fleet_publishing.cc
@@ -151,7 +151,7 @@
 }
 
 void fleet_task::LogAwaited(time_point now) {
-  const awaited_entries awaited = lapsed_.Awaits(now);
+  const store_recovery awaited = lapsed_.Recovery(now);
   if (awaited.event == 0 ||
       std::exchange(logged_return_, awaited.event) == awaited.event) {
     return;
--- a/lib/Fleet/fleet_task.cc
+++ b/lib/Fleet/fleet_task.cc
@@ -141,7 +141,7 @@
     staleness_.OnPeer(now, *beat.freshness,
                       beat.sender.revision > feed_.view().revision());
   }
-  lapsed_.OnPeer(now, beat.sender.awaits, beat.freshness);
+  lapsed_.OnPeer(now, beat.sender.recovery, beat.freshness);
   if (!beat.changing.empty()) {
     leader_changing_ = beat.changing;
     leader_changing_at_ = now;
@@ -206,7 +206,7 @@
   self.version = roster_.self_version();
   self.revision = feed_.view().news_revision();
   self.has_store = feed_.IsFresh(now, kStoreFresh);
-  self.awaits = lapsed_.Awaits(now);
+  self.recovery = lapsed_.Recovery(now);
   heartbeat_frame beat{.sender = self,
                   .recent_peers = roster_.SampleAlive(now),
                   .changing = {},
@@ -217,7 +217,7 @@
                   .quarantine = crash_bulletin_.TakeFor(now, to),
                   .is_watched = roster_.IsWatcher(to),
                   .members = roster_.TakeMemberUpdates(now, to),
-                  .freshness = staleness_.Youngest(now)};
+                  .freshness = staleness_.MostRecent(now)};
   for (limit_update& item : beat.limits) {
     item.age += now - own_limits_.at;
   }
@@ -245,7 +245,7 @@
   AskPeers(now);
   RegisterSelf();
   RecordQuarantines(now);
-  if (upstreams_.HasKept() && !lapsed_.IsAway(now)) {
+  if (upstreams_.HasKept() && !lapsed_.IsStoreUnavailable(now)) {
     upstreams_.Expire(now, lapsed_.Window());
     PublishUpstreams();
   }
@@ -294,7 +294,7 @@
                      .expected = std::nullopt},
                     [this](const store_write& written) {
                       is_registering_ = false;
-                      is_registered_ = written.end == store_end::kDone;
+                      is_registered_ = written.end == store_status::kDone;
                       next_registration_ = ReadBootClock() + kRegistrationRetry;
                     });
 }
--- a/lib/Fleet/item_feed.cc
+++ b/lib/Fleet/item_feed.cc
@@ -82,14 +82,14 @@
 }
 
 void item_feed::OnItems(bool is_complete, const store_items& answer) {
-  if (answer.end == store_end::kHistoryGone) {
+  if (answer.end == store_status::kHistoryGone) {
     must_read_all_ = true;
     log_.Write(log_class::kBelief,
                log_line("store_history_gone").Add("after", view_.revision()));
     timer_.Start(duration(0));
     return;
   }
-  if (answer.end != store_end::kDone) {
+  if (answer.end != store_status::kDone) {
     OnFailure(answer.end);
     return;
   }
@@ -120,7 +120,7 @@
   }
 }
 
-void item_feed::OnFailure(store_end end) {
+void item_feed::OnFailure(store_status end) {
   pause_ = std::clamp(pause_ * 2, kFirstRetry, kLongestRetry);
   failed_at_ = ReadBootClock();
   if (!std::exchange(is_lost_, true)) {
--- a/lib/Fleet/item_store.cc
+++ b/lib/Fleet/item_store.cc
@@ -2,19 +2,19 @@
 
 namespace cuminswitch {
 
-std::string_view ToString(store_end value) {
+std::string_view ToString(store_status value) {
   switch (value) {
-    case store_end::kDone:
+    case store_status::kDone:
       return "done";
-    case store_end::kRefused:
+    case store_status::kRefused:
       return "refused";
-    case store_end::kUnknown:
+    case store_status::kUnknown:
       return "unknown";
-    case store_end::kConflict:
+    case store_status::kConflict:
       return "conflict";
-    case store_end::kNoLease:
+    case store_status::kNoLease:
       return "no_lease";
-    case store_end::kHistoryGone:
+    case store_status::kHistoryGone:
       return "history_gone";
   }
   return "unknown";
--- a/lib/Fleet/lapsed_upstreams.cc
+++ b/lib/Fleet/lapsed_upstreams.cc
@@ -9,11 +9,11 @@
 /// Entries of upstreams that live are back this soon after the store's return.
 static constexpr duration kLapsedTime = std::chrono::seconds(2);
 
-bool lapsed_upstreams::IsAway(time_point now) const {
+bool store_outage_tracker::IsStoreUnavailable(time_point now) const {
   return answered_at_ && now - *answered_at_ >= options_.least_outage;
 }
 
-void lapsed_upstreams::OnReturn(const store_return& seen) {
+void store_outage_tracker::OnReturn(const store_return& seen) {
   const duration apart = std::chrono::abs(seen.at - return_.at);
   if (return_.event == 0 || apart >= options_.least_outage) {
     return_ = seen;
@@ -28,8 +28,8 @@
   return_.revision = std::min(return_.revision, seen.revision);
 }
 
-void lapsed_upstreams::OnStoreAnswer(time_point at, revision_number revision) {
-  if (IsAway(at)) {
+void store_outage_tracker::OnStoreAnswer(time_point at, revision_number revision) {
+  if (IsStoreUnavailable(at)) {
     const auto stamp = static_cast<uint64_t>(at.time_since_epoch().count());
     OnReturn({.event = CombineHash(options_.self, stamp),
               .at = at,
@@ -38,9 +38,9 @@
   answered_at_ = std::max(answered_at_.value_or(at), at);
 }
 
-void lapsed_upstreams::OnPeer(time_point now,
-                              const awaited_entries& told,
-                              const std::optional<store_evidence>& evidence) {
+void store_outage_tracker::OnPeer(time_point now,
+                              const store_recovery& told,
+                              const std::optional<freshness_record>& evidence) {
   // Daemons of an earlier release name no revision, and await more than can
   // have lapsed.
   if (told.event != 0 && told.revision != 0) {
@@ -49,25 +49,25 @@
     const bool is_known =
         return_.event != 0 &&
         std::chrono::abs(at - return_.at) < options_.least_outage;
-    if (is_known || !answered_at_ || IsAway(at)) {
+    if (is_known || !answered_at_ || IsStoreUnavailable(at)) {
       OnReturn({.event = told.event, .at = at, .revision = told.revision});
     }
   }
-  if (evidence && evidence->witness != 0) {
+  if (evidence && evidence->daemon_hash != 0) {
     const time_point at = now - evidence->age;
     answered_at_ = std::max(answered_at_.value_or(at), at);
   }
 }
 
-lapse_window lapsed_upstreams::Window() const {
+recovery_window store_outage_tracker::Window() const {
   if (return_.event == 0) {
     return {};
   }
   return {.until = return_.at + kLapsedTime, .last_removal = return_.revision};
 }
 
-awaited_entries lapsed_upstreams::Awaits(time_point now) const {
-  const lapse_window window = Window();
+store_recovery store_outage_tracker::Recovery(time_point now) const {
+  const recovery_window window = Window();
   if (window.until <= now) {
     return {};
   }
--- a/lib/Fleet/peer_frame.cc
+++ b/lib/Fleet/peer_frame.cc
@@ -132,7 +132,7 @@
                  .is_ready = wire.is_ready(),
                  .is_leaving = wire.is_leaving(),
                  .has_store = wire.has_store(),
-                 .awaits = {.event = wire.awaited_return(),
+                 .recovery = {.event = wire.awaited_return(),
                             .left = duration(wire.awaited_for_us()),
                             .revision = wire.awaited_up_to()},
                  .revision = wire.revision()},
@@ -187,7 +187,7 @@
     if (!IsAge(wire.store_answer_age_us())) {
       return std::nullopt;
     }
-    frame.freshness = {.witness = wire.store_witness(),
+    frame.freshness = {.daemon_hash = wire.store_witness(),
                       .age = duration(wire.store_answer_age_us())};
   }
   if (!ReadQuarantineNews(wire, frame.quarantine) ||
--- a/lib/Fleet/peer_frame_writer.cc
+++ b/lib/Fleet/peer_frame_writer.cc
@@ -83,7 +83,7 @@
         static_cast<float>(frame.mix.short_held),
         static_cast<float>(frame.mix.seconds), frame.mix.keeps_engines);
     const daemon_record& sender = frame.sender;
-    const store_evidence evidence = frame.freshness.value_or(store_evidence());
+    const freshness_record evidence = frame.freshness.value_or(freshness_record());
     return fleet_wire::Createbeat(
                out_, out_.CreateString(sender.name), sender.incarnation,
                out_.CreateString(sender.peer_address.ToString()),
@@ -97,9 +97,9 @@
                out_.CreateVectorOfStructs(limits),
                out_.CreateVectorOfStructs(crashes),
                out_.CreateVectorOfStructs(completions), sender.version,
-               frame.is_watched, out_.CreateVector(members), evidence.witness,
-               evidence.age.count(), sender.awaits.event,
-               sender.awaits.left.count(), sender.awaits.revision)
+               frame.is_watched, out_.CreateVector(members), evidence.daemon_hash,
+               evidence.age.count(), sender.recovery.event,
+               sender.recovery.left.count(), sender.recovery.revision)
         .Union();
   }
 
--- a/lib/Fleet/staleness_tracker.cc
+++ b/lib/Fleet/staleness_tracker.cc
@@ -15,32 +15,32 @@
 }
 
 void staleness_tracker::OnPeer(time_point now,
-                               const store_evidence& told,
+                               const freshness_record& told,
                                bool is_behind) {
-  if (told.witness == 0 || told.witness == self_) {
+  if (told.daemon_hash == 0 || told.daemon_hash == self_) {
     return;
   }
   const time_point at = now - told.age;
-  time_point& known = answered_at_[told.witness];
+  time_point& known = answered_at_[told.daemon_hash];
   known = std::max(known, at);
   std::erase_if(answered_at_, [&](const auto& item) {
     return now - item.second > kForgetWitness;
   });
   if (!is_behind && at > complete_at_) {
     complete_at_ = at;
-    witness_ = told.witness;
+    witness_ = told.daemon_hash;
   }
 }
 
-std::optional<store_evidence> staleness_tracker::Youngest(
+std::optional<freshness_record> staleness_tracker::MostRecent(
     time_point now) const {
   if (witness_ == 0) {
     return std::nullopt;
   }
-  return store_evidence{.witness = witness_, .age = Staleness(now)};
+  return freshness_record{.daemon_hash = witness_, .age = Staleness(now)};
 }
 
-bool staleness_tracker::WasAnswered(time_point now,
+bool staleness_tracker::HasReachedStore(time_point now,
                                     uint64_t witness,
                                     duration span) const {
   const auto found = answered_at_.find(witness);
--- a/lib/Fleet/store_duty.cc
+++ b/lib/Fleet/store_duty.cc
@@ -28,7 +28,7 @@
   const duration span = std::min<duration>(kStoreFresh, now - stands_in_since_);
   std::vector<daemon_record> answered;
   for (const daemon_record& item : seen.alive) {
-    if (seen.staleness.WasAnswered(now, Hash64(item.name), span)) {
+    if (seen.staleness.HasReachedStore(now, Hash64(item.name), span)) {
       answered.push_back(item);
     }
   }
--- a/lib/Fleet/upstream_directory.cc
+++ b/lib/Fleet/upstream_directory.cc
@@ -21,7 +21,7 @@
 /// Whether an upstream that was removed at \p revision may live.
 static bool MayHaveLapsed(time_point now,
                           revision_number revision,
-                          const lapse_window& window) {
+                          const recovery_window& window) {
   return now < window.until && revision <= window.last_removal;
 }
 
@@ -32,7 +32,7 @@
 
 void upstream_directory::Take(time_point now,
                               const upstream_entry_update& news,
-                              const lapse_window& window) {
+                              const recovery_window& window) {
   unreadable_.erase(news.id);
   if (news.entry != nullptr) {
     Put(news.entry);
@@ -56,7 +56,7 @@
   Remove(news.id);
 }
 
-void upstream_directory::Expire(time_point now, const lapse_window& window) {
+void upstream_directory::Expire(time_point now, const recovery_window& window) {
   if (MayHaveLapsed(now, last_kept_removal_, window)) {
     return;
   }
--- a/unittests/Fleet/leader_election_test.cc
+++ b/unittests/Fleet/leader_election_test.cc
@@ -21,11 +21,11 @@
   void Write(const conditional_write& write,
              std::function<void(store_write)> done) override {
     calls.push_back([this, write, done](bool is_lost) {
-      store_write answer{.end = store_end::kConflict};
+      store_write answer{.end = store_status::kConflict};
       if (holder_lease == 0) {
         holder_lease = write.lease;
         holder = write.value;
-        answer = {.end = store_end::kDone, .revision = ++revision};
+        answer = {.end = store_status::kDone, .revision = ++revision};
       }
       done(is_lost ? store_write{} : answer);
     });
@@ -35,7 +35,7 @@
     calls.push_back([this, time_to_live, done](bool is_lost) {
       const lease_number lease = ++last_lease;
       done(is_lost ? store_lease{}
-                   : store_lease{.end = store_end::kDone,
+                   : store_lease{.end = store_status::kDone,
                                  .lease = lease,
                                  .time_to_live = time_to_live});
     });
@@ -46,7 +46,7 @@
       const bool lives = lease == holder_lease;
       done(is_lost ? store_lease{}
                    : store_lease{
-                         .end = lives ? store_end::kDone : store_end::kNoLease,
+                         .end = lives ? store_status::kDone : store_status::kNoLease,
                          .lease = lease,
                          .time_to_live = milliseconds(1500)});
     });
--- a/unittests/Fleet/peer_frame_test.cc
+++ b/unittests/Fleet/peer_frame_test.cc
@@ -60,15 +60,15 @@
 
 TEST(peer_frame_test, EvidenceOfTheStoreComesBack) {
   heartbeat_frame beat = MakeBeat();
-  beat.freshness = {.witness = 12, .age = std::chrono::milliseconds(340)};
+  beat.freshness = {.daemon_hash = 12, .age = std::chrono::milliseconds(340)};
   const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(beat)));
   ASSERT_TRUE(frame);
   EXPECT_EQ(std::get<heartbeat_frame>(*frame).freshness, beat.freshness);
-  beat.sender.awaits = {
+  beat.sender.recovery = {
       .event = 4, .left = std::chrono::seconds(2), .revision = 8};
   const auto awaiting = DecodePeerFrame(BytesOf(EncodePeerFrame(beat)));
   ASSERT_TRUE(awaiting);
-  EXPECT_EQ(std::get<heartbeat_frame>(*awaiting).sender.awaits, beat.sender.awaits);
+  EXPECT_EQ(std::get<heartbeat_frame>(*awaiting).sender.recovery, beat.sender.recovery);
   beat.freshness->age = -std::chrono::milliseconds(1);
   EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(beat))));
   beat.freshness.reset();
--- a/unittests/Fleet/quarantine_records_test.cc
+++ b/unittests/Fleet/quarantine_records_test.cc
@@ -30,8 +30,8 @@
   }
   void EndLease(lease_number lease) override { ended.push_back(lease); }
 
-  store_end lease_end = store_end::kDone;
-  store_end write_end = store_end::kDone;
+  store_status lease_end = store_status::kDone;
+  store_status write_end = store_status::kDone;
   std::vector<milliseconds> lease_times;
   std::vector<conditional_write> writes;
   std::vector<lease_number> ended;
@@ -66,11 +66,11 @@
 }
 
 TEST_F(quarantine_records_test, IsWrittenAgainWhileTheStoreDoesNotListIt) {
-  store_.lease_end = store_end::kRefused;
+  store_.lease_end = store_status::kRefused;
   Tick();
   EXPECT_TRUE(store_.writes.empty());
-  store_.lease_end = store_end::kDone;
-  store_.write_end = store_end::kUnknown;
+  store_.lease_end = store_status::kDone;
+  store_.write_end = store_status::kUnknown;
   now_ += seconds(2);
   Tick();
   now_ += seconds(2);
@@ -79,7 +79,7 @@
 }
 
 TEST_F(quarantine_records_test, OneThatAnotherDaemonWroteLeavesNoLease) {
-  store_.write_end = store_end::kConflict;
+  store_.write_end = store_status::kConflict;
   Tick();
   EXPECT_EQ(store_.ended, std::vector<lease_number>{1});
 }
--- a/unittests/Fleet/staleness_tracker_test.cc
+++ b/unittests/Fleet/staleness_tracker_test.cc
@@ -12,39 +12,39 @@
 
 TEST(staleness_tracker_test, TheYoungestEvidenceCounts) {
   staleness_tracker tracker(1);
-  EXPECT_FALSE(tracker.Youngest(kStart));
-  tracker.OnPeer(kStart, {.witness = 2, .age = milliseconds(300)}, false);
+  EXPECT_FALSE(tracker.MostRecent(kStart));
+  tracker.OnPeer(kStart, {.daemon_hash = 2, .age = milliseconds(300)}, false);
   EXPECT_EQ(tracker.Staleness(kStart), milliseconds(300));
-  tracker.OnPeer(kStart, {.witness = 3, .age = milliseconds(500)}, false);
-  EXPECT_EQ(tracker.Youngest(kStart),
-            (store_evidence{.witness = 2, .age = milliseconds(300)}));
+  tracker.OnPeer(kStart, {.daemon_hash = 3, .age = milliseconds(500)}, false);
+  EXPECT_EQ(tracker.MostRecent(kStart),
+            (freshness_record{.daemon_hash = 2, .age = milliseconds(300)}));
   tracker.OnStoreAnswer(kStart);
-  EXPECT_EQ(tracker.Youngest(kStart + milliseconds(20)),
-            (store_evidence{.witness = 1, .age = milliseconds(20)}));
+  EXPECT_EQ(tracker.MostRecent(kStart + milliseconds(20)),
+            (freshness_record{.daemon_hash = 1, .age = milliseconds(20)}));
 }
 
 TEST(staleness_tracker_test, EvidenceOfAPeerThatKnowsMoreDoesNotHold) {
   staleness_tracker tracker(1);
-  tracker.OnPeer(kStart, {.witness = 2, .age = milliseconds(10)}, true);
-  EXPECT_FALSE(tracker.Youngest(kStart));
-  EXPECT_TRUE(tracker.WasAnswered(kStart, 2, milliseconds(100)));
+  tracker.OnPeer(kStart, {.daemon_hash = 2, .age = milliseconds(10)}, true);
+  EXPECT_FALSE(tracker.MostRecent(kStart));
+  EXPECT_TRUE(tracker.HasReachedStore(kStart, 2, milliseconds(100)));
 }
 
 TEST(staleness_tracker_test, OwnEvidenceThatComesBackProvesNothingNew) {
   staleness_tracker tracker(1);
   tracker.OnStoreAnswer(kStart);
   const time_point later = kStart + std::chrono::seconds(2);
-  tracker.OnPeer(later, {.witness = 1, .age = milliseconds(10)}, false);
+  tracker.OnPeer(later, {.daemon_hash = 1, .age = milliseconds(10)}, false);
   EXPECT_EQ(tracker.Staleness(later), std::chrono::seconds(2));
-  EXPECT_FALSE(tracker.WasAnswered(later, 1, std::chrono::seconds(9)));
+  EXPECT_FALSE(tracker.HasReachedStore(later, 1, std::chrono::seconds(9)));
 }
 
 TEST(staleness_tracker_test, WitnessesAreForgotten) {
   staleness_tracker tracker(1);
-  tracker.OnPeer(kStart, {.witness = 2, .age = milliseconds(10)}, false);
-  EXPECT_TRUE(tracker.WasAnswered(kStart, 2, milliseconds(100)));
+  tracker.OnPeer(kStart, {.daemon_hash = 2, .age = milliseconds(10)}, false);
+  EXPECT_TRUE(tracker.HasReachedStore(kStart, 2, milliseconds(100)));
   EXPECT_FALSE(
-      tracker.WasAnswered(kStart + milliseconds(200), 2, milliseconds(100)));
+      tracker.HasReachedStore(kStart + milliseconds(200), 2, milliseconds(100)));
 }
 
 }  // namespace
--- a/unittests/Fleet/store_fleet.cc
+++ b/unittests/Fleet/store_fleet.cc
@@ -126,7 +126,7 @@
     if (to == number || self.is_cut_off || peer.is_cut_off) {
       continue;
     }
-    if (const auto evidence = self.staleness.Youngest(now_)) {
+    if (const auto evidence = self.staleness.MostRecent(now_)) {
       peer.staleness.OnPeer(now_, *evidence, self.revision > peer.revision);
     }
     // It asks, and is answered long before the next round.
--- a/unittests/Fleet/upstream_directory_test.cc
+++ b/unittests/Fleet/upstream_directory_test.cc
@@ -20,7 +20,7 @@
 /// Of each removal.
 constexpr revision_number kRemoved = 50;
 /// The store returned just now, after the removals.
-constexpr lapse_window kReturned{.until = kNow + milliseconds(2000),
+constexpr recovery_window kReturned{.until = kNow + milliseconds(2000),
                                  .last_removal = kRemoved};
 
 using ids = std::vector<std::string>;
@@ -30,7 +30,7 @@
   /// Lists \p entries and nothing else, in any order, as the store would.
   void List(const std::vector<upstream_entry>& entries,
             time_point now = kNow,
-            const lapse_window& window = {}) {
+            const recovery_window& window = {}) {
     ids listed;
     for (const upstream_entry& entry : entries) {
       listed.push_back(entry.id);
@@ -117,7 +117,7 @@
 
 // Guards against requests to an upstream that left after the store's return.
 TEST_F(upstream_directory_test, WhatIsRemovedAfterTheReturnIsGone) {
-  constexpr lapse_window kBefore{.until = kReturned.until,
+  constexpr recovery_window kBefore{.until = kReturned.until,
                                  .last_removal = kRemoved - 1};
   List({{.id = "a", .address = kHere}});
   List({}, kNow, kBefore);
@@ -139,7 +139,7 @@
 TEST_F(upstream_directory_test, WhatLapsedIsKeptAfterTheNextReturnToo) {
   List({{.id = "a", .address = kHere}});
   List({}, kNow, kReturned);
-  const lapse_window next{.until = kNow + milliseconds(7000),
+  const recovery_window next{.until = kNow + milliseconds(7000),
                           .last_removal = kRemoved + 10};
   directory_.Expire(kNow + milliseconds(5000), next);
   EXPECT_EQ(InUse(), ids{"a"});
--- a/unittests/PlatformAdapter/fleet_growth_test.cc
+++ b/unittests/PlatformAdapter/fleet_growth_test.cc
@@ -43,7 +43,7 @@
 namespace {
 
 constexpr time_point kNow{std::chrono::seconds(100)};
-constexpr lapse_window kReturned{.until = kNow + std::chrono::seconds(2),
+constexpr recovery_window kReturned{.until = kNow + std::chrono::seconds(2),
                                  .last_removal = 1};
 constexpr size_t kUpstreamsPerHost = 10;
 constexpr int kRepeats = 60;
