--- a/include/cuminswitch/Fleet/upstream_directory.h
+++ b/include/cuminswitch/Fleet/upstream_directory.h
@@ -30,11 +30,11 @@
 
 /// An upstream that the store does not list begins to be kept in use, or
 /// ceases.
-struct kept_change {
+struct retained_change {
   std::string id;
   /// The store's revision of its removal.
   revision_number revision = 0;
-  bool is_kept = false;
+  bool is_retained = false;
 };
 
 /// Decides which of the listed upstreams are used. Each call costs what it
@@ -56,13 +56,13 @@
             const recovery_window& window);
   /// Drops entries that were kept, and have not lapsed by what is known now.
   void Expire(time_point now, const recovery_window& window);
-  bool HasKept() const { return !kept_.empty(); }
+  bool HasRetained() const { return !kept_.empty(); }
 
   /// Returns what changed since the last call.
   std::vector<upstream_change> TakeChanges();
   /// Returns what changed since the last call of upstreams that are kept though
   /// the store does not list them.
-  std::vector<kept_change> TakeKeptChanges() {
+  std::vector<retained_change> TakeRetainedChanges() {
     return std::exchange(kept_changes_, {});
   }
   /// Grows with each change.
@@ -107,7 +107,7 @@
   std::map<std::string, size_t, std::less<>> service_sizes_;
   std::set<std::string, std::less<>> unreadable_;
   std::set<std::string, std::less<>> kept_;
-  std::vector<kept_change> kept_changes_;
+  std::vector<retained_change> kept_changes_;
   /// No kept entry was removed after this revision.
   revision_number last_kept_removal_ = 0;
   /// What upstreams with changes were at the last `TakeChanges`.
--- a/lib/Fleet/fleet_publishing.cc
+++ b/lib/Fleet/fleet_publishing.cc
@@ -165,10 +165,10 @@
 }
 
 void fleet_task::PublishUpstreams() {
-  for (const kept_change& item : upstreams_.TakeKeptChanges()) {
+  for (const retained_change& item : upstreams_.TakeRetainedChanges()) {
     const std::string text =
         item.id + "/removed_at_" + std::to_string(item.revision);
-    if (item.is_kept) {
+    if (item.is_retained) {
       kept_changes_.Add(text);
     } else {
       kept_changes_.Remove(text);
--- a/lib/Fleet/fleet_task.cc
+++ b/lib/Fleet/fleet_task.cc
@@ -245,7 +245,7 @@
   AskPeers(now);
   RegisterSelf();
   RecordQuarantines(now);
-  if (upstreams_.HasKept() && !lapsed_.IsStoreUnavailable(now)) {
+  if (upstreams_.HasRetained() && !lapsed_.IsStoreUnavailable(now)) {
     upstreams_.Expire(now, lapsed_.Window());
     PublishUpstreams();
   }
--- a/lib/Fleet/upstream_directory.cc
+++ b/lib/Fleet/upstream_directory.cc
@@ -49,7 +49,7 @@
     last_kept_removal_ = std::max(last_kept_removal_, news.revision);
     if (kept_.insert(news.id).second) {
       kept_changes_.push_back(
-          {.id = news.id, .revision = news.revision, .is_kept = true});
+          {.id = news.id, .revision = news.revision, .is_retained = true});
     }
     return;
   }
@@ -113,7 +113,7 @@
   if (kept_.erase(id) != 0) {
     kept_changes_.push_back({.id = id,
                              .revision = states_.find(id)->second.removed_at,
-                             .is_kept = false});
+                             .is_retained = false});
   }
 }
 
--- a/unittests/Fleet/upstream_directory_test.cc
+++ b/unittests/Fleet/upstream_directory_test.cc
@@ -108,10 +108,10 @@
   List({{.id = "a", .address = kHere}}, kNow, kReturned);
   EXPECT_EQ(InUse(), (ids{"a", "b"}));
   directory_.Expire(kNow + milliseconds(1900), kReturned);
-  EXPECT_TRUE(directory_.HasKept());
+  EXPECT_TRUE(directory_.HasRetained());
   EXPECT_EQ(InUse(), (ids{"a", "b"}));
   directory_.Expire(kNow + milliseconds(2000), kReturned);
-  EXPECT_FALSE(directory_.HasKept());
+  EXPECT_FALSE(directory_.HasRetained());
   EXPECT_EQ(InUse(), ids{"a"});
 }
 
