--- a/include/cuminswitch/Fleet/fleet_knowledge.h
+++ b/include/cuminswitch/Fleet/fleet_knowledge.h
@@ -83,7 +83,7 @@
   std::shared_ptr<const fleet_snapshot> knowledge;
   std::vector<upstream_entry_update> upstreams;
   /// The keys that said so.
-  std::vector<std::string> news;
+  std::vector<std::string> changed_keys;
 };
 
 /// Turns stored items into knowledge. It keeps what it decoded, and visits only
--- a/include/cuminswitch/Fleet/fleet_task.h
+++ b/include/cuminswitch/Fleet/fleet_task.h
@@ -112,11 +112,11 @@
   options options_;
   parts with_;
   peer_table roster_;
-  item_feed feed_;
+  item_watcher feed_;
   leader_election election_;
   weights_rollout rollout_;
   staleness_tracker staleness_;
-  store_duty duty_;
+  store_follower_policy duty_;
   store_outage_tracker lapsed_;
   quarantine_records quarantine_records_;
   std::unique_ptr<peer_transport> transport_;
@@ -146,7 +146,7 @@
   list_changes kept_changes_;
   /// The return of the store that the log was last told to be awaited.
   uint64_t logged_return_ = 0;
-  question_pacer questions_;
+  items_request_tracker questions_;
   item_list_cache complete_list_;
   time_point next_registration_{};
   bool is_stale_ = false;
--- a/include/cuminswitch/Fleet/item_feed.h
+++ b/include/cuminswitch/Fleet/item_feed.h
@@ -23,7 +23,7 @@
 
 /// Reads everything once, then follows the changes; begins anew when the store
 /// has dropped the history in between.
-class item_feed {
+class item_watcher {
  public:
   struct handlers {
     /// Called with the keys of items that changed or are forgotten.
@@ -33,26 +33,26 @@
     std::function<void(time_point at, revision_number revision)> on_answer;
   };
 
-  item_feed(event_base* base,
+  item_watcher(event_base* base,
             item_store& store,
             event_log& log,
             handlers calls);
-  ~item_feed();
+  ~item_watcher();
 
   void Start();
   /// Whether to follow the store. While it does not, items come from peers.
   void SetFollowing(bool follows);
   bool IsFollowing() const { return is_following_; }
   /// Whom the daemon asked last, and how long ago.
-  struct question {
+  struct peer_request {
     std::string_view peer;
     duration took{0};
   };
   /// Takes in items that a peer sent as the answer to \p asked.
-  void OnPeerItems(const items_reply_frame& reply, const question& asked);
+  void OnPeerItems(const items_reply_frame& reply, const peer_request& asked);
   const item_view& view() const { return view_; }
   /// The changes of the items under \p keys are news to peers.
-  void MarkNews(std::span<const std::string> keys);
+  void MarkForRelay(std::span<const std::string> keys);
   /// Whether the store answered this daemon within \p span.
   bool IsFresh(time_point now, duration span) const {
     return now - answered_at_ <= span;
--- a/include/cuminswitch/Fleet/item_view.h
+++ b/include/cuminswitch/Fleet/item_view.h
@@ -35,7 +35,7 @@
     std::optional<std::string> value;
     revision_number revision = 0;
     /// The last change that peers are told of.
-    revision_number told_revision = 0;
+    revision_number relay_revision = 0;
   };
   using entry_map = std::map<std::string, entry, std::less<>>;
 
@@ -49,7 +49,7 @@
                                         revision_number at);
   /// The last change of the item under \p key is worth telling. Upstreams renew
   /// their items all the time, and say nothing new by most of it.
-  void MarkNews(std::string_view key);
+  void MarkForRelay(std::string_view key);
 
   /// Everything up to this revision is in the view.
   revision_number revision() const { return revision_; }
@@ -57,14 +57,14 @@
   const entry_map& entries() const { return entries_; }
   /// The revision of the last news; 0 before the first read, and never
   /// afterwards.
-  revision_number news_revision() const { return news_revision_; }
+  revision_number relay_revision() const { return news_revision_; }
   /// Lists the items with news after \p revision, gone ones included. Visits
   /// only these while \p revision is among the last news.
-  std::vector<item_change> ListNewsSince(revision_number revision) const;
+  std::vector<item_change> ListRelayedSince(revision_number revision) const;
   /// Lists all items, and those that are known to be gone.
   std::vector<item_change> ListAll() const;
-  /// Whether `ListNewsSince(revision)` also tells of all items that went.
-  bool RemembersSince(revision_number revision) const {
+  /// Whether `ListRelayedSince(revision)` also tells of all items that went.
+  bool HasHistorySince(revision_number revision) const {
     return revision >= forgotten_;
   }
 
--- a/include/cuminswitch/Fleet/question_pacer.h
+++ b/include/cuminswitch/Fleet/question_pacer.h
@@ -16,7 +16,7 @@
 /// thousands of upstreams, and a slow link needs longer for it than the
 /// interval between questions. Asked again meanwhile, a peer would send the
 /// same list again and again, and hold all of them in memory.
-class question_pacer {
+class items_request_tracker {
  public:
   bool MayAsk(time_point now) const;
   void OnAsked(time_point now, std::string peer);
--- a/include/cuminswitch/Fleet/store_duty.h
+++ b/include/cuminswitch/Fleet/store_duty.h
@@ -22,7 +22,7 @@
 /// few of those that rank before it are answered. One that is not answered
 /// stands down, and tries again after a while that grows with the fleet: the
 /// calls of a fleet that has lost the store stay few.
-class store_duty {
+class store_follower_policy {
  public:
   /// What the daemon knows when it decides.
   struct view {
@@ -41,7 +41,7 @@
   void OnPeers(const daemon_record& self,
                std::span<const daemon_record> living);
   /// Returns whether to follow the store from now on.
-  bool Decide(time_point now, const view& seen);
+  bool ShouldFollow(time_point now, const view& seen);
 
  private:
   /// Whether enough peers that rank before this daemon have the store.
--- a/lib/Fleet/fleet_task.cc
+++ b/lib/Fleet/fleet_task.cc
@@ -182,7 +182,7 @@
   if (!view.HasRead()) {
     return;
   }
-  if (request.after == 0 || !view.RemembersSince(request.after)) {
+  if (request.after == 0 || !view.HasHistorySince(request.after)) {
     transport_->Send(request.reply_to,
                      complete_list_.Get(ReadBootClock(), view, request.after));
     return;
@@ -191,7 +191,7 @@
                    EncodePeerFrame(items_reply_frame{
                        .revision = view.revision(),
                        .is_complete = false,
-                       .items = view.ListNewsSince(request.after)}));
+                       .items = view.ListRelayedSince(request.after)}));
 }
 
 void fleet_task::OnItemsReply(const items_reply_frame& reply) {
@@ -204,7 +204,7 @@
   const time_point now = ReadBootClock();
   daemon_record self = options_.self;
   self.version = roster_.self_version();
-  self.revision = feed_.view().news_revision();
+  self.revision = feed_.view().relay_revision();
   self.has_store = feed_.IsFresh(now, kStoreFresh);
   self.recovery = lapsed_.Recovery(now);
   heartbeat_frame beat{.sender = self,
@@ -307,7 +307,7 @@
 
 void fleet_task::OnItemsChanged(std::span<const std::string> keys) {
   decoded_items decoded = with_.decoder.Decode(feed_.view(), keys);
-  feed_.MarkNews(decoded.news);
+  feed_.MarkForRelay(decoded.changed_keys);
   const time_point now = ReadBootClock();
   for (const upstream_entry_update& news : decoded.upstreams) {
     upstreams_.Take(now, news, lapsed_.Window());
@@ -322,7 +322,7 @@
 }
 
 void fleet_task::DecideFollowing(time_point now) {
-  feed_.SetFollowing(duty_.Decide(now, {.self = options_.self,
+  feed_.SetFollowing(duty_.ShouldFollow(now, {.self = options_.self,
                                         .alive = published_peers_,
                                         .staleness = staleness_,
                                         .answered_at = feed_.answered_at(),
--- a/lib/Fleet/item_feed.cc
+++ b/lib/Fleet/item_feed.cc
@@ -23,7 +23,7 @@
 /// after a loss of power.
 static constexpr duration kLongestRetry = std::chrono::milliseconds(800);
 
-item_feed::item_feed(event_base* base,
+item_watcher::item_watcher(event_base* base,
                      item_store& store,
                      event_log& log,
                      handlers calls)
@@ -32,15 +32,15 @@
       handlers_(std::move(calls)),
       timer_(base, [this] { Next(); }) {}
 
-item_feed::~item_feed() {
+item_watcher::~item_watcher() {
   *alive_ = false;
 }
 
-void item_feed::Start() {
+void item_watcher::Start() {
   Next();
 }
 
-void item_feed::SetFollowing(bool follows) {
+void item_watcher::SetFollowing(bool follows) {
   if (std::exchange(is_following_, follows) != follows) {
     log_.Write(log_class::kBelief, log_line("store_following")
                                        .Add("follows", follows)
@@ -51,7 +51,7 @@
   }
 }
 
-void item_feed::Next() {
+void item_watcher::Next() {
   is_busy_ = is_following_ || must_read_all_;
   if (!is_busy_) {
     return;
@@ -64,7 +64,7 @@
   }
 }
 
-void item_feed::ReadAll() {
+void item_watcher::ReadAll() {
   store_.ReadAll([this, alive = alive_](const store_items& answer) {
     if (*alive) {
       OnItems(true, answer);
@@ -72,7 +72,7 @@
   });
 }
 
-void item_feed::Watch() {
+void item_watcher::Watch() {
   store_.Watch(view_.revision(), is_lost_ ? kProbeTime : kWatchTime,
                [this, alive = alive_](const store_items& answer) {
                  if (*alive) {
@@ -81,7 +81,7 @@
                });
 }
 
-void item_feed::OnItems(bool is_complete, const store_items& answer) {
+void item_watcher::OnItems(bool is_complete, const store_items& answer) {
   if (answer.end == store_status::kHistoryGone) {
     must_read_all_ = true;
     log_.Write(log_class::kBelief,
@@ -105,13 +105,13 @@
   }
 }
 
-void item_feed::MarkNews(std::span<const std::string> keys) {
+void item_watcher::MarkForRelay(std::span<const std::string> keys) {
   for (const std::string& key : keys) {
-    view_.MarkNews(key);
+    view_.MarkForRelay(key);
   }
 }
 
-void item_feed::OnSuccess() {
+void item_watcher::OnSuccess() {
   answered_at_ = ReadBootClock();
   pause_ = duration(0);
   if (std::exchange(is_lost_, false)) {
@@ -120,7 +120,7 @@
   }
 }
 
-void item_feed::OnFailure(store_status end) {
+void item_watcher::OnFailure(store_status end) {
   pause_ = std::clamp(pause_ * 2, kFirstRetry, kLongestRetry);
   failed_at_ = ReadBootClock();
   if (!std::exchange(is_lost_, true)) {
@@ -134,8 +134,8 @@
   timer_.Start(std::max(duration(0), pause_ - (failed_at_ - called_at_)));
 }
 
-void item_feed::OnPeerItems(const items_reply_frame& reply,
-                            const question& asked) {
+void item_watcher::OnPeerItems(const items_reply_frame& reply,
+                            const peer_request& asked) {
   const revision_number before = view_.revision();
   const std::vector<std::string> changed =
       reply.is_complete ? view_.ApplyAll(reply.items, reply.revision)
--- a/lib/Fleet/item_view.cc
+++ b/lib/Fleet/item_view.cc
@@ -73,13 +73,13 @@
   return changed;
 }
 
-void item_view::MarkNews(std::string_view key) {
+void item_view::MarkForRelay(std::string_view key) {
   const auto found = entries_.find(key);
   if (found == entries_.end()) {
     return;
   }
   entry& known = found->second;
-  known.told_revision = known.revision;
+  known.relay_revision = known.revision;
   news_revision_ = std::max(news_revision_, known.revision);
   if (known.revision <= recent_since_) {
     return;
@@ -125,12 +125,12 @@
   return changes;
 }
 
-std::vector<item_change> item_view::ListNewsSince(
+std::vector<item_change> item_view::ListRelayedSince(
     revision_number revision) const {
   std::vector<item_change> changes;
   if (revision < recent_since_) {
     for (const auto& [key, known] : entries_) {
-      if (known.told_revision > revision) {
+      if (known.relay_revision > revision) {
         changes.push_back(MakeChange(key, known));
       }
     }
@@ -140,7 +140,7 @@
        news != recent_.end(); ++news) {
     const auto& [told, key] = *news;
     const auto found = entries_.find(key);
-    if (found != entries_.end() && found->second.told_revision == told) {
+    if (found != entries_.end() && found->second.relay_revision == told) {
       changes.push_back(MakeChange(key, found->second));
     }
   }
--- a/lib/Fleet/question_pacer.cc
+++ b/lib/Fleet/question_pacer.cc
@@ -9,11 +9,11 @@
 /// s on the slowest links that hosts have (10 Mbit/s).
 static constexpr duration kAnswerTime = std::chrono::seconds(1);
 
-bool question_pacer::MayAsk(time_point now) const {
+bool items_request_tracker::MayAsk(time_point now) const {
   return now - asked_at_ >= (is_waiting_ ? kAnswerTime : kAskInterval);
 }
 
-void question_pacer::OnAsked(time_point now, std::string peer) {
+void items_request_tracker::OnAsked(time_point now, std::string peer) {
   peer_ = std::move(peer);
   asked_at_ = now;
   is_waiting_ = true;
--- a/lib/Fleet/store_duty.cc
+++ b/lib/Fleet/store_duty.cc
@@ -18,12 +18,12 @@
 /// The store may come back for one daemon alone.
 static constexpr duration kLongestTryInterval = std::chrono::seconds(3);
 
-void store_duty::OnPeers(const daemon_record& self,
+void store_follower_policy::OnPeers(const daemon_record& self,
                          std::span<const daemon_record> living) {
   is_chosen_ = FollowsStore(self, living);
 }
 
-bool store_duty::IsRelieved(time_point now, const view& seen) const {
+bool store_follower_policy::IsRelieved(time_point now, const view& seen) const {
   // An answer from before the items were stale says nothing of now.
   const duration span = std::min<duration>(kStoreFresh, now - stands_in_since_);
   std::vector<daemon_record> answered;
@@ -36,7 +36,7 @@
                      FollowersPerDomain(seen.self, seen.alive));
 }
 
-duration store_duty::TryInterval(const view& seen) {
+duration store_follower_policy::TryInterval(const view& seen) {
   const duration even =
       std::clamp<duration>(std::chrono::seconds(seen.known) / kTriesPerSecond,
                            kShortestTryInterval, kLongestTryInterval);
@@ -47,7 +47,7 @@
   return even * 3 / 4 + even * step / (2 * static_cast<int64_t>(kSteps));
 }
 
-bool store_duty::Decide(time_point now, const view& seen) {
+bool store_follower_policy::ShouldFollow(time_point now, const view& seen) {
   if (is_chosen_) {
     is_standing_in_ = false;
     return true;
--- a/unittests/Fleet/item_feed_test.cc
+++ b/unittests/Fleet/item_feed_test.cc
@@ -40,9 +40,9 @@
   void operator()(event_base* base) const { event_base_free(base); }
 };
 
-class item_feed_test : public testing::Test {
+class item_watcher_test : public testing::Test {
  protected:
-  item_feed_test()
+  item_watcher_test()
       : base_(event_base_new()),
         log_({}),
         feed_(base_.get(),
@@ -58,14 +58,14 @@
   std::unique_ptr<event_base, base_deleter> base_;
   event_log log_;
   waiting_store store_;
-  item_feed feed_;
+  item_watcher feed_;
 };
 
 // Symptom: 30 s after all of 300 daemons were killed the fleet serves nobody.
 // Sequence: all start at once, and each reads a megabyte of items from the
 // store, though some have them already. Cause: nobody took a peer's list while
 // its own read was under way, so that the store's link stayed full.
-TEST_F(item_feed_test, APeersListEndsTheReadThatIsUnderWay) {
+TEST_F(item_watcher_test, APeersListEndsTheReadThatIsUnderWay) {
   ASSERT_TRUE(store_.reading);
   feed_.OnPeerItems({.revision = 7,
                      .is_complete = true,
@@ -77,7 +77,7 @@
   EXPECT_EQ(store_.watched_after, 7U);
 }
 
-TEST_F(item_feed_test, APartOfTheItemsDoesNotEndIt) {
+TEST_F(item_watcher_test, APartOfTheItemsDoesNotEndIt) {
   feed_.OnPeerItems({.revision = 7,
                      .is_complete = false,
                      .items = {{.key = "k", .value = "v", .revision = 7}}},
@@ -86,7 +86,7 @@
 }
 
 // Guards against daemons that notice the store's return over a second late.
-TEST_F(item_feed_test, ALostStoreIsNotAskedToHoldItsAnswerBack) {
+TEST_F(item_watcher_test, ALostStoreIsNotAskedToHoldItsAnswerBack) {
   store_.reading({.end = store_status::kDone, .revision = 5});
   RunTimers();
   const std::chrono::milliseconds usual = store_.watched_for;
--- a/unittests/Fleet/item_view_test.cc
+++ b/unittests/Fleet/item_view_test.cc
@@ -68,9 +68,9 @@
   view.ApplyChanges(
       std::vector{Put("a", "1", 1), Put("b", "1", 2), Gone("c", 3)}, 3);
   for (const char* key : {"a", "b", "c"}) {
-    view.MarkNews(key);
+    view.MarkForRelay(key);
   }
-  const std::vector<item_change> newer = view.ListNewsSince(1);
+  const std::vector<item_change> newer = view.ListRelayedSince(1);
   ASSERT_EQ(newer.size(), 2U);
   EXPECT_EQ(newer[0].key, "b");
   EXPECT_FALSE(newer[1].value.has_value());
@@ -82,12 +82,12 @@
 TEST(item_view_test, ARenewedItemIsNoNews) {
   item_view view;
   view.ApplyChanges(std::vector{Put("a", "1", 1), Put("b", "1", 2)}, 2);
-  view.MarkNews("a");
-  view.MarkNews("b");
+  view.MarkForRelay("a");
+  view.MarkForRelay("b");
   view.ApplyChanges(std::vector{Put("a", "1 renewed", 3)}, 3);
-  EXPECT_EQ(view.news_revision(), 2U);
-  EXPECT_TRUE(view.ListNewsSince(2).empty());
-  EXPECT_EQ(view.ListNewsSince(0).size(), 2U);
+  EXPECT_EQ(view.relay_revision(), 2U);
+  EXPECT_TRUE(view.ListRelayedSince(2).empty());
+  EXPECT_EQ(view.ListRelayedSince(0).size(), 2U);
   EXPECT_EQ(view.entries().at("a").value, "1 renewed");
 }
 
@@ -102,10 +102,10 @@
   }
   view.ApplyChanges(changes, 3000);
   for (const item_change& change : changes) {
-    view.MarkNews(change.key);
+    view.MarkForRelay(change.key);
   }
   for (const revision_number since : {0, 1, 1000, 2990, 2999, 3000}) {
-    EXPECT_EQ(view.ListNewsSince(since).size(), (3000 - since) * 3) << since;
+    EXPECT_EQ(view.ListRelayedSince(since).size(), (3000 - since) * 3) << since;
   }
 }
 
@@ -130,8 +130,8 @@
     view.ApplyChanges(std::vector{Gone("key" + std::to_string(i), i)}, i);
   }
   EXPECT_LT(view.entries().size(), 600U);
-  EXPECT_FALSE(view.RemembersSince(1));
-  EXPECT_TRUE(view.RemembersSince(1999));
+  EXPECT_FALSE(view.HasHistorySince(1));
+  EXPECT_TRUE(view.HasHistorySince(1999));
 }
 
 // Any order of the same changes ends in the same view. Seeded.
@@ -167,10 +167,10 @@
   late.ApplyAll(
       std::vector<item_change>{{.key = "a", .value = "1", .revision = 90}},
       100);
-  EXPECT_FALSE(late.RemembersSince(60)) << "what went at 80 is not listed";
-  EXPECT_TRUE(late.RemembersSince(100));
+  EXPECT_FALSE(late.HasHistorySince(60)) << "what went at 80 is not listed";
+  EXPECT_TRUE(late.HasHistorySince(100));
   late.ApplyAll({}, 120);
-  EXPECT_TRUE(late.RemembersSince(100)) << "it knows what went since";
+  EXPECT_TRUE(late.HasHistorySince(100)) << "it knows what went since";
 }
 
 }  // namespace
--- a/unittests/Fleet/question_pacer_test.cc
+++ b/unittests/Fleet/question_pacer_test.cc
@@ -14,8 +14,8 @@
 // full. Sequence: hundreds of daemons start and ask it for the whole list; the
 // link needs a second for what they asked for; each asks again every 200 ms.
 // Cause: the time of the last question counted, not whether it was answered.
-TEST(question_pacer_test, NothingIsAskedWhileAnAnswerIsOnItsWay) {
-  question_pacer pacer;
+TEST(items_request_tracker_test, NothingIsAskedWhileAnAnswerIsOnItsWay) {
+  items_request_tracker pacer;
   EXPECT_TRUE(pacer.MayAsk(kStart));
   pacer.OnAsked(kStart, "d");
   for (int millis = 0; millis < 1000; millis += 50) {
@@ -24,16 +24,16 @@
   EXPECT_TRUE(pacer.MayAsk(kStart + milliseconds(1000))) << "it was lost";
 }
 
-TEST(question_pacer_test, AfterAnAnswerTheNextQuestionComesSoon) {
-  question_pacer pacer;
+TEST(items_request_tracker_test, AfterAnAnswerTheNextQuestionComesSoon) {
+  items_request_tracker pacer;
   pacer.OnAsked(kStart, "d");
   pacer.OnAnswered();
   EXPECT_FALSE(pacer.MayAsk(kStart + milliseconds(100)));
   EXPECT_TRUE(pacer.MayAsk(kStart + milliseconds(200)));
 }
 
-TEST(question_pacer_test, TurnsDiffer) {
-  question_pacer pacer;
+TEST(items_request_tracker_test, TurnsDiffer) {
+  items_request_tracker pacer;
   const uint64_t first = pacer.turn();
   pacer.OnAsked(kStart, "d");
   EXPECT_NE(pacer.turn(), first);
--- a/unittests/Fleet/store_duty_test.cc
+++ b/unittests/Fleet/store_duty_test.cc
@@ -24,7 +24,7 @@
   return daemons < 80 ? 3 : 6;
 }
 
-class store_duty_test
+class store_follower_policy_test
     : public testing::TestWithParam<std::tuple<size_t, store_fleet::fault>> {
  protected:
   size_t size() const { return std::get<0>(GetParam()); }
@@ -43,18 +43,18 @@
 };
 INSTANTIATE_TEST_SUITE_P(
     Fleets,
-    store_duty_test,
+    store_follower_policy_test,
     testing::Combine(testing::Values(13, 30, 68, 300, 986),
                      testing::Values(store_fleet::fault::kRefuses,
                                      store_fleet::fault::kSilent)));
 
-TEST_P(store_duty_test, FewFollowWhileNothingIsWrong) {
+TEST_P(store_follower_policy_test, FewFollowWhileNothingIsWrong) {
   EXPECT_EQ(fleet_.Followers().size(), 6U);
   EXPECT_LE(fleet_.TimeToLearn(kBound), milliseconds(1000));
 }
 
 // Guards against followers that live without the store while others reach it.
-TEST_P(store_duty_test, ThoseThatReachTheStoreLearnInTimeWithoutTheFollowers) {
+TEST_P(store_follower_policy_test, ThoseThatReachTheStoreLearnInTimeWithoutTheFollowers) {
   const std::set<size_t> followers = fleet_.Followers();
   for (const size_t follower : followers) {
     fleet_.SetReached(follower, false);
@@ -62,7 +62,7 @@
   EXPECT_LE(LongestToLearn(), kBound);
 }
 
-TEST_P(store_duty_test, OneDaemonThatReachesTheStoreIsEnough) {
+TEST_P(store_follower_policy_test, OneDaemonThatReachesTheStoreIsEnough) {
   for (size_t i = 1; i < size(); ++i) {
     fleet_.SetReached(i, false);
   }
@@ -70,7 +70,7 @@
 }
 
 // Guards against a daemon that waits for peers from which it is cut off.
-TEST_P(store_duty_test, ThoseThatAreCutOffFromTheirPeersLearnInTime) {
+TEST_P(store_follower_policy_test, ThoseThatAreCutOffFromTheirPeersLearnInTime) {
   const std::set<size_t> followers = fleet_.Followers();
   for (size_t i = 0, cut = 0; cut < 3; ++i) {
     if (!followers.contains(i)) {
@@ -81,7 +81,7 @@
   EXPECT_LE(LongestToLearn(), kBound);
 }
 
-TEST_P(store_duty_test, FollowersTakeTheirPlacesBack) {
+TEST_P(store_follower_policy_test, FollowersTakeTheirPlacesBack) {
   const std::set<size_t> followers = fleet_.Followers();
   for (const size_t follower : followers) {
     fleet_.SetReached(follower, false);
@@ -95,7 +95,7 @@
 }
 
 // Guards against a fleet that storms a store which is down for everybody.
-TEST_P(store_duty_test, CallsStayFewWhileTheStoreIsDown) {
+TEST_P(store_follower_policy_test, CallsStayFewWhileTheStoreIsDown) {
   for (size_t i = 0; i < size(); ++i) {
     fleet_.SetReached(i, false);
   }
--- a/unittests/Fleet/store_fleet.h
+++ b/unittests/Fleet/store_fleet.h
@@ -40,7 +40,7 @@
  private:
   struct daemon {
     staleness_tracker staleness{0};
-    store_duty duty;
+    store_follower_policy duty;
     revision_number revision = 0;
     bool is_reached = true;
     bool is_cut_off = false;
--- a/unittests/PlatformAdapter/document_decoder_test.cc
+++ b/unittests/PlatformAdapter/document_decoder_test.cc
@@ -155,7 +155,7 @@
   Put("servers/i-1", begin + "5}");
   const decoded_items decoded =
       decoder_.Decode(view_, std::exchange(changed_, {}));
-  EXPECT_TRUE(decoded.news.empty());
+  EXPECT_TRUE(decoded.changed_keys.empty());
   EXPECT_TRUE(decoded.upstreams.empty());
   EXPECT_EQ(decoded.knowledge, nullptr);
   Put("servers/i-1",
--- a/unittests/PlatformAdapter/fleet_growth_test.cc
+++ b/unittests/PlatformAdapter/fleet_growth_test.cc
@@ -96,8 +96,8 @@
   void TakeIn(std::span<const item_change> items) {
     const std::vector<std::string> keys = view_.ApplyChanges(items, revision_);
     const decoded_items decoded = decoder_.Decode(view_, keys);
-    for (const std::string& key : decoded.news) {
-      view_.MarkNews(key);
+    for (const std::string& key : decoded.changed_keys) {
+      view_.MarkForRelay(key);
     }
     for (const upstream_entry_update& news : decoded.upstreams) {
       directory_.Take(kNow, news, {});
@@ -122,7 +122,7 @@
     roster_.SampleAlive(kNow);
   }
   void KeepLapsed() { lapsed_.Expire(kNow, kReturned); }
-  void TellNews() { view_.ListNewsSince(view_.news_revision() - 1); }
+  void TellNews() { view_.ListRelayedSince(view_.relay_revision() - 1); }
 
  private:
   static heartbeat_frame BeatOf(size_t host) {
