--- a/include/cuminswitch/Fleet/address_choice.h
+++ b/include/cuminswitch/Fleet/address_choice.h
@@ -14,14 +14,14 @@
 namespace cuminswitch {
 
 /// Who asks for addresses.
-struct address_question {
+struct address_query {
   /// The caller's; empty where it does not say.
   std::string_view failure_domain;
   /// Stands for the caller. It gets much the same addresses each time, so that
   /// it goes on using its connections; others get others.
   uint64_t caller = 0;
   /// Addresses that an answer holds.
-  size_t most = 64;
+  size_t max_count = 64;
 };
 
 /// Chooses among \p serving for the load of a fleet with more hosts than an
@@ -30,7 +30,7 @@
 /// until they ask again. Where the domain has fewer hosts than fit, hosts of
 /// the others fill the answer.
 std::vector<endpoint> ChooseAddresses(std::span<const daemon_record> serving,
-                                      const address_question& question);
+                                      const address_query& question);
 
 }  // namespace cuminswitch
 
--- a/lib/Fleet/address_choice.cc
+++ b/lib/Fleet/address_choice.cc
@@ -37,7 +37,7 @@
 }
 
 std::vector<endpoint> ChooseAddresses(std::span<const daemon_record> serving,
-                                      const address_question& question) {
+                                      const address_query& question) {
   std::vector<candidate> own;
   std::vector<candidate> others;
   for (const daemon_record& host : serving) {
@@ -48,10 +48,10 @@
              .host = &host});
   }
   const size_t reserved =
-      std::min(others.size(), question.most / kOtherDomainsPart);
-  const size_t own_count = std::min(own.size(), question.most - reserved);
+      std::min(others.size(), question.max_count / kOtherDomainsPart);
+  const size_t own_count = std::min(own.size(), question.max_count - reserved);
   const size_t others_count =
-      std::min(others.size(), question.most - own_count);
+      std::min(others.size(), question.max_count - own_count);
   PutFirst(own, own_count);
   PutFirst(others, others_count);
   std::vector<endpoint> addresses;
--- a/unittests/Fleet/address_choice_test.cc
+++ b/unittests/Fleet/address_choice_test.cc
@@ -51,7 +51,7 @@
 
 // All callers of a large fleet use the same 64 hosts, of one failure domain:
 // answers named the first hosts in the order of their names.
-TEST(address_choice_test, CallersSpreadEvenlyOverTheFleet) {
+TEST(address_selection_test, CallersSpreadEvenlyOverTheFleet) {
   constexpr size_t kCallers = 2000;
   for (const size_t hosts : {300, 1000, 2000}) {
     const auto named = CountNamed(MakeFleet(hosts), kCallers);
@@ -64,7 +64,7 @@
   }
 }
 
-TEST(address_choice_test, MostAddressesAreOfTheCallersDomain) {
+TEST(address_selection_test, MostAddressesAreOfTheCallersDomain) {
   for (const size_t hosts : {1000, 2000}) {
     const std::vector<daemon_record> fleet = MakeFleet(hosts);
     std::map<endpoint, std::string> domains;
@@ -80,7 +80,7 @@
 }
 
 // The loss of one failure domain takes all addresses that its callers hold.
-TEST(address_choice_test, SomethingIsLeftWhenADomainIsLost) {
+TEST(address_selection_test, SomethingIsLeftWhenADomainIsLost) {
   const std::vector<daemon_record> fleet = MakeFleet(1000);
   for (size_t caller = 0; caller < 60; ++caller) {
     for (size_t lost = 0; lost < kDomains; ++lost) {
@@ -102,7 +102,7 @@
 
 // Callers close sound connections with each new answer: each answer named other
 // hosts.
-TEST(address_choice_test, ACallerIsToldTheSameWhileTheFleetIsTheSame) {
+TEST(address_selection_test, ACallerIsToldTheSameWhileTheFleetIsTheSame) {
   std::vector<daemon_record> fleet = MakeFleet(1000);
   const std::vector<endpoint> first = Ask(fleet, 5);
   const std::set<endpoint> known(first.begin(), first.end());
@@ -120,7 +120,7 @@
   EXPECT_EQ(kept, 63U);
 }
 
-TEST(address_choice_test, AFleetThatFitsIsNamedWhole) {
+TEST(address_selection_test, AFleetThatFitsIsNamedWhole) {
   for (const size_t hosts : {1, 8, 33, 64}) {
     EXPECT_EQ(Ask(MakeFleet(hosts), 1).size(), hosts);
   }
--- a/unittests/Fleet/follower_choice_test.cc
+++ b/unittests/Fleet/follower_choice_test.cc
@@ -37,17 +37,17 @@
   return names;
 }
 
-TEST(follower_choice_test, AllFollowInASmallFleet) {
+TEST(follower_selection_test, AllFollowInASmallFleet) {
   EXPECT_EQ(Followers(MakeFleet(12)).size(), 12U);
 }
 
-TEST(follower_choice_test, TwoOfEachDomainFollowInALargeFleet) {
+TEST(follower_selection_test, TwoOfEachDomainFollowInALargeFleet) {
   EXPECT_EQ(Followers(MakeFleet(40)).size(), 4U);
 }
 
 // Symptom: the price of calls to the store grows with the domains of a fleet.
 // Cause: two followers of each domain, where those of five others are at hand.
-TEST(follower_choice_test, OneOfEachFollowsWhereThereAreManyDomains) {
+TEST(follower_selection_test, OneOfEachFollowsWhereThereAreManyDomains) {
   EXPECT_EQ(Followers(MakeFleet(95, 6)).size(), 6U);
   EXPECT_EQ(Followers(MakeFleet(95, 5)).size(), 10U);
 }
@@ -55,7 +55,7 @@
 // Symptom: callers of one host wait for seconds after each change of the
 // configuration.
 // Cause: a host with a link of 10 Mbit/s followed the store for twenty others.
-TEST(follower_choice_test, HostsWithWideLinksComeFirst) {
+TEST(follower_selection_test, HostsWithWideLinksComeFirst) {
   std::vector<daemon_record> fleet = MakeFleet(40);
   for (const size_t wide : {4U, 5U, 6U, 7U}) {
     fleet[wide].link_rate = 200;
