--- a/include/cuminswitch/Core/request_router.h
+++ b/include/cuminswitch/Core/request_router.h
@@ -146,9 +146,9 @@
   /// The upstream of \p attempt has begun to answer it.
   void OnAttemptAnswered(attempt_id attempt);
   /// The upstream of \p attempt refused it and wants no request for \p time.
-  void OnRestAsked(time_point now, attempt_id attempt, duration time);
+  void OnBackoffRequested(time_point now, attempt_id attempt, duration time);
   /// The upstream of \p attempt leaves. Returns whether that is news.
-  bool OnLeavingSaid(attempt_id attempt);
+  bool OnUpstreamLeaving(attempt_id attempt);
   /// Which requests crash upstreams. What peers and the store know of them goes
   /// in here.
   request_quarantine& quarantine() { return quarantine_; }
--- a/include/cuminswitch/Edge/answer_notices.h
+++ b/include/cuminswitch/Edge/answer_notices.h
@@ -11,12 +11,12 @@
 namespace cuminswitch {
 
 /// What is to be believed of what an answer says of its upstream.
-struct answer_notices {
-  std::optional<told_load> load;
+struct upstream_feedback {
+  std::optional<reported_load> load;
   /// The upstream's limit, or that it has none.
   std::optional<limit_notice> limit;
   /// For how long the upstream wants nothing more.
-  std::optional<rest_notice> rest;
+  std::optional<backoff_notice> backoff;
   bool is_leaving = false;
   /// The upstream runs the request, so it lives.
   bool has_run = false;
@@ -24,7 +24,7 @@
 
 /// Chooses what counts of \p said, the head of an answer on the connection of
 /// the attempt \p attempt.
-answer_notices ChooseNotices(const answer_attributes& said,
+upstream_feedback SelectFeedback(const answer_attributes& said,
                              std::string_view attempt);
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Edge/edge_protocol.h
+++ b/include/cuminswitch/Edge/edge_protocol.h
@@ -60,7 +60,7 @@
 };
 
 /// The load that an upstream tells with an answer.
-struct told_load {
+struct reported_load {
   uint32_t running = 0;
   uint32_t waiting = 0;
 };
@@ -75,10 +75,10 @@
   bool is_mismatch = false;
   /// An upstream made this answer.
   bool is_signed = false;
-  std::optional<told_load> load;
+  std::optional<reported_load> load;
   /// The rate that the upstream takes, where it is in need.
   limit_notice limit;
-  rest_notice rest;
+  backoff_notice backoff;
   /// The upstream leaves: it is to get nothing new.
   bool is_leaving = false;
 };
--- a/include/cuminswitch/Edge/edge_task.h
+++ b/include/cuminswitch/Edge/edge_task.h
@@ -84,8 +84,8 @@
  private:
   void OnRequest(caller_exchange& exchange) override;
   void OnFlowEvent(core_event event) override;
-  void OnFlowNotices(const request_flow& flow,
-                     const answer_notices& notices) override;
+  void OnFlowFeedback(const request_flow& flow,
+                     const upstream_feedback& notices) override;
   void OnFlowAttemptFailed(const request_flow& flow,
                            attempt_answer answer,
                            uint32_t status) override;
@@ -98,7 +98,7 @@
   /// Takes in what an answer says of its upstream's limit.
   void TakeLimit(const request_flow& flow, const limit_notice& notice);
   /// Takes in for how long an upstream that refused wants nothing more.
-  void TakeRest(const request_flow& flow, const rest_notice& notice);
+  void TakeRest(const request_flow& flow, const backoff_notice& notice);
   /// Takes in that an upstream leaves.
   void TakeLeaving(const request_flow& flow);
   void Take(const fleet_snapshot_changed& news);
--- a/include/cuminswitch/Edge/request_flow.h
+++ b/include/cuminswitch/Edge/request_flow.h
@@ -44,8 +44,8 @@
   virtual ~flow_owner() = default;
   virtual void OnFlowEvent(core_event event) = 0;
   /// The upstream of the present attempt said something of itself.
-  virtual void OnFlowNotices(const request_flow& flow,
-                             const answer_notices& notices) = 0;
+  virtual void OnFlowFeedback(const request_flow& flow,
+                             const upstream_feedback& notices) = 0;
   /// An attempt ended otherwise than with success.
   virtual void OnFlowAttemptFailed(const request_flow& flow,
                                    attempt_answer answer,
--- a/include/cuminswitch/Protocol/upstream_notice.h
+++ b/include/cuminswitch/Protocol/upstream_notice.h
@@ -27,7 +27,7 @@
 
 /// How long an upstream that refused a request wants nothing more; between it
 /// and this daemon alone.
-struct rest_notice {
+struct backoff_notice {
   notice_kind kind = notice_kind::kNone;
   duration time{0};
 };
--- a/include/cuminswitch/Routing/replica.h
+++ b/include/cuminswitch/Routing/replica.h
@@ -65,7 +65,7 @@
   /// It names a limit, and this daemon's next turn comes no earlier.
   time_point limited_until{};
   /// It refused a request of this daemon and wants none before this.
-  time_point rest_until{};
+  time_point backoff_until{};
   /// One of its answers said that it leaves. The list may say so later, or not.
   bool says_leaving = false;
   /// Between two of this daemon's turns there.
@@ -80,7 +80,7 @@
   time_point warm_since{};
 
   /// By its own word it takes no request of this daemon before this.
-  time_point ClosedUntil() const { return std::max(limited_until, rest_until); }
+  time_point ClosedUntil() const { return std::max(limited_until, backoff_until); }
 };
 
 }  // namespace cuminswitch
--- a/lib/Core/request_notices.cc
+++ b/lib/Core/request_notices.cc
@@ -28,15 +28,15 @@
   return running->upstream_start == StartOf(item) ? &item : nullptr;
 }
 
-void request_router::OnRestAsked(time_point now,
+void request_router::OnBackoffRequested(time_point now,
                                  attempt_id attempt,
                                  duration time) {
   if (replica* item = FindReplica(attempt)) {
-    item->rest_until = std::max(item->rest_until, now + time);
+    item->backoff_until = std::max(item->backoff_until, now + time);
   }
 }
 
-bool request_router::OnLeavingSaid(attempt_id attempt) {
+bool request_router::OnUpstreamLeaving(attempt_id attempt) {
   replica* item = FindReplica(attempt);
   return item != nullptr && !std::exchange(item->says_leaving, true);
 }
@@ -55,7 +55,7 @@
     return false;
   }
   ++counters_.shed;
-  if (best.rest_until < best.limited_until) {
+  if (best.backoff_until < best.limited_until) {
     Refuse(item.info.request,
            {.status = status_code::kTooManyRequests,
             .message = "upstreams name limits",
--- a/lib/Core/request_permits.cc
+++ b/lib/Core/request_permits.cc
@@ -76,7 +76,7 @@
   // The upstream may have begun to leave meanwhile, or asked for rest.
   const eligible_replicas eligible = replicas_.ListEligible(
       now, item.info.target, AllowedDomains(item), item.excluded);
-  if (now >= replicas_[*index].rest_until &&
+  if (now >= replicas_[*index].backoff_until &&
       std::binary_search(eligible.indices.begin(), eligible.indices.end(),
                          *index)) {
     Dispatch(now, item, item.asked, eligible.indices, out);
--- a/lib/Edge/answer_notices.cc
+++ b/lib/Edge/answer_notices.cc
@@ -2,10 +2,10 @@
 
 namespace cuminswitch {
 
-answer_notices ChooseNotices(const answer_attributes& said,
+upstream_feedback SelectFeedback(const answer_attributes& said,
                              std::string_view attempt) {
-  answer_notices notices{
-      .load = said.load, .limit = std::nullopt, .rest = std::nullopt};
+  upstream_feedback notices{
+      .load = said.load, .limit = std::nullopt, .backoff = std::nullopt};
   // A late answer to another attempt says nothing of this upstream.
   if (said.attempt != attempt) {
     return notices;
@@ -20,8 +20,8 @@
   if (said.is_mismatch) {
     return notices;
   }
-  if (said.was_not_run && said.rest.kind != notice_kind::kNone) {
-    notices.rest = said.rest;
+  if (said.was_not_run && said.backoff.kind != notice_kind::kNone) {
+    notices.backoff = said.backoff;
   }
   notices.is_leaving = said.is_leaving;
   return notices;
--- a/lib/Edge/edge_notices.cc
+++ b/lib/Edge/edge_notices.cc
@@ -13,8 +13,8 @@
   return line;
 }
 
-void edge_task::OnFlowNotices(const request_flow& flow,
-                              const answer_notices& notices) {
+void edge_task::OnFlowFeedback(const request_flow& flow,
+                              const upstream_feedback& notices) {
   if (notices.load) {
     router_.OnUpstreamLoad(ReadBootClock(), {.upstream = flow.upstream(),
                                              .running = notices.load->running,
@@ -26,8 +26,8 @@
   if (notices.limit) {
     TakeLimit(flow, *notices.limit);
   }
-  if (notices.rest) {
-    TakeRest(flow, *notices.rest);
+  if (notices.backoff) {
+    TakeRest(flow, *notices.backoff);
   }
   if (notices.is_leaving) {
     TakeLeaving(flow);
@@ -46,20 +46,20 @@
            upstream, "answer");
 }
 
-void edge_task::TakeRest(const request_flow& flow, const rest_notice& notice) {
+void edge_task::TakeRest(const request_flow& flow, const backoff_notice& notice) {
   if (notice.kind == notice_kind::kUnreadable) {
     with_.log.Write(log_class::kBelief,
                     DescribeNotice("rest_unreadable", flow));
     return;
   }
-  router_.OnRestAsked(ReadBootClock(), flow.attempt(), notice.time);
+  router_.OnBackoffRequested(ReadBootClock(), flow.attempt(), notice.time);
   with_.log.Write(
       log_class::kBelief,
       DescribeNotice("rest_asked", flow).Add("rest_ms", notice.time));
 }
 
 void edge_task::TakeLeaving(const request_flow& flow) {
-  if (router_.OnLeavingSaid(flow.attempt())) {
+  if (router_.OnUpstreamLeaving(flow.attempt())) {
     with_.log.Write(log_class::kBelief, DescribeNotice("leaving_said", flow));
   }
 }
--- a/lib/Edge/request_flow.cc
+++ b/lib/Edge/request_flow.cc
@@ -142,8 +142,8 @@
 void request_flow::OnAnswerHead(const message_head& head) {
   answer_.head = head;
   answer_.attributes = with_.protocol.ReadAnswer(head);
-  with_.owner.OnFlowNotices(
-      *this, ChooseNotices(answer_.attributes, options_.request.attempt));
+  with_.owner.OnFlowFeedback(
+      *this, SelectFeedback(answer_.attributes, options_.request.attempt));
 }
 
 /// Whether the head is of a success that can be this attempt's.
--- a/lib/Routing/replica_eligibility.cc
+++ b/lib/Routing/replica_eligibility.cc
@@ -186,7 +186,7 @@
   const double computing = item.computed_per_request / item.prefill_rate;
   const double answering = item.answer_seconds / std::max(1.0, item.limit);
   const double room = (item.queued_here + 1) * std::max(computing, answering);
-  double opens = std::max(0.0, ToSeconds(item.rest_until - now));
+  double opens = std::max(0.0, ToSeconds(item.backoff_until - now));
   if (now < item.limited_until) {
     // At an upstream that names a limit, room comes with this daemon's turns.
     opens = std::max(opens, ToSeconds(item.limited_until - now) +
--- a/lib/Routing/replica_table.cc
+++ b/lib/Routing/replica_table.cc
@@ -190,7 +190,7 @@
   item.others_waiting = 0;
   item.failures_in_row = 0;
   item.ejected_until = {};
-  item.rest_until = {};
+  item.backoff_until = {};
   item.says_leaving = false;
   item.answers.Reset();
 }
--- a/test/soak/notice_check.cc
+++ b/test/soak/notice_check.cc
@@ -10,7 +10,7 @@
 /// From when a daemon has passed on that an upstream leaves.
 static constexpr std::chrono::milliseconds kDrainTime{2'000};
 
-std::optional<std::string> notice_check::OnRestAsked(
+std::optional<std::string> notice_check::OnBackoffRequested(
     const notice_arrival& item,
     std::chrono::milliseconds rest) {
   ++counted_;
--- a/test/soak/notice_check.h
+++ b/test/soak/notice_check.h
@@ -30,7 +30,7 @@
 class notice_check {
  public:
   /// An upstream refused a request and asks its daemon for \p rest.
-  std::optional<std::string> OnRestAsked(const notice_arrival& item,
+  std::optional<std::string> OnBackoffRequested(const notice_arrival& item,
                                          std::chrono::milliseconds rest);
   /// A caller got an answer of \p upstream that says that it leaves.
   void OnLeavingTold(const endpoint& daemon,
--- a/test/soak/promise_ledger.cc
+++ b/test/soak/promise_ledger.cc
@@ -38,7 +38,7 @@
 
 void promise_ledger::OnRested(const notice_arrival& item,
                               std::chrono::milliseconds rest) {
-  if (const auto broken = notices_.OnRestAsked(item, rest)) {
+  if (const auto broken = notices_.OnBackoffRequested(item, rest)) {
     Find("rest", *broken);
   }
 }
--- a/unittests/Core/upstream_notice_test.cc
+++ b/unittests/Core/upstream_notice_test.cc
@@ -62,7 +62,7 @@
   }
   /// The upstream of \p sent refuses it and asks for rest.
   void AskForRest(const dispatch_attempt& sent, duration rest) {
-    router_.OnRestAsked(now_, sent.attempt, rest);
+    router_.OnBackoffRequested(now_, sent.attempt, rest);
     router_.OnAttemptEnded(now_,
                            {.attempt = sent.attempt,
                             .result = outcome::kNotRun,
@@ -181,7 +181,7 @@
   // The upstream that is asked about wants rest meanwhile.
   const uint64_t upstream = asked[0].upstream;
   ASSERT_TRUE(sent.upstream.size() == 1);
-  router_.OnRestAsked(now_, sent.attempt, seconds(3));
+  router_.OnBackoffRequested(now_, sent.attempt, seconds(3));
   router_.OnPermit(
       now_,
       {.request = asked[0].request, .upstream = upstream, .is_granted = true},
@@ -193,8 +193,8 @@
 TEST_F(upstream_notice_test, OneThatSaysThatItLeavesGetsNothing) {
   Arrive();
   const auto sent = *TakeSent();
-  EXPECT_TRUE(router_.OnLeavingSaid(sent.attempt));
-  EXPECT_FALSE(router_.OnLeavingSaid(sent.attempt)) << "it was said before";
+  EXPECT_TRUE(router_.OnUpstreamLeaving(sent.attempt));
+  EXPECT_FALSE(router_.OnUpstreamLeaving(sent.attempt)) << "it was said before";
   router_.OnAttemptEnded(
       now_, {.attempt = sent.attempt, .result = outcome::kAnswered}, out_);
   out_.clear();
@@ -205,12 +205,12 @@
 TEST_F(upstream_notice_test, NoticesAreOfOneStart) {
   Arrive();
   const auto sent = *TakeSent();
-  router_.OnLeavingSaid(sent.attempt);
-  router_.OnRestAsked(now_, sent.attempt, seconds(60));
+  router_.OnUpstreamLeaving(sent.attempt);
+  router_.OnBackoffRequested(now_, sent.attempt, seconds(60));
   Start(sent.upstream, 2);
   // What the earlier start says afterwards is not of this one.
-  EXPECT_FALSE(router_.OnLeavingSaid(sent.attempt));
-  router_.OnRestAsked(now_, sent.attempt, seconds(60));
+  EXPECT_FALSE(router_.OnUpstreamLeaving(sent.attempt));
+  router_.OnBackoffRequested(now_, sent.attempt, seconds(60));
   router_.OnAttemptEnded(
       now_, {.attempt = sent.attempt, .result = outcome::kAnswered}, out_);
   out_.clear();
--- a/unittests/Edge/answer_notices_test.cc
+++ b/unittests/Edge/answer_notices_test.cc
@@ -7,53 +7,53 @@
 namespace {
 
 constexpr char kAttempt[] = "a1";
-constexpr rest_notice kRest{.kind = notice_kind::kNamed,
+constexpr backoff_notice kRest{.kind = notice_kind::kNamed,
                             .time = std::chrono::seconds(3)};
 
 answer_attributes Refusal() {
-  return {.attempt = kAttempt, .was_not_run = true, .rest = kRest};
+  return {.attempt = kAttempt, .was_not_run = true, .backoff = kRest};
 }
 
-TEST(answer_notices_test, ARefusalAsksForRest) {
-  const auto notices = ChooseNotices(Refusal(), kAttempt);
-  ASSERT_TRUE(notices.rest);
-  EXPECT_EQ(notices.rest->time, kRest.time);
+TEST(upstream_feedback_test, ARefusalAsksForRest) {
+  const auto notices = SelectFeedback(Refusal(), kAttempt);
+  ASSERT_TRUE(notices.backoff);
+  EXPECT_EQ(notices.backoff->time, kRest.time);
   EXPECT_FALSE(notices.limit);
   EXPECT_FALSE(notices.has_run);
 }
 
 // A run that failed asks the caller to come back, and its upstream for nothing.
-TEST(answer_notices_test, OnlyARefusalAsksForRest) {
+TEST(upstream_feedback_test, OnlyARefusalAsksForRest) {
   answer_attributes said = Refusal();
   said.was_not_run = false;
   said.is_signed = true;
-  EXPECT_FALSE(ChooseNotices(said, kAttempt).rest);
+  EXPECT_FALSE(SelectFeedback(said, kAttempt).backoff);
 }
 
-TEST(answer_notices_test, AnyAnswerTellsThatItsUpstreamLeaves) {
+TEST(upstream_feedback_test, AnyAnswerTellsThatItsUpstreamLeaves) {
   answer_attributes said = Refusal();
   said.is_leaving = true;
-  EXPECT_TRUE(ChooseNotices(said, kAttempt).is_leaving);
+  EXPECT_TRUE(SelectFeedback(said, kAttempt).is_leaving);
   said = {.attempt = kAttempt, .is_signed = true, .is_leaving = true};
-  EXPECT_TRUE(ChooseNotices(said, kAttempt).is_leaving);
-  EXPECT_TRUE(ChooseNotices(said, kAttempt).has_run);
+  EXPECT_TRUE(SelectFeedback(said, kAttempt).is_leaving);
+  EXPECT_TRUE(SelectFeedback(said, kAttempt).has_run);
 }
 
 // The address of an upstream that is gone may be another's.
-TEST(answer_notices_test, AnAnswerOfAnotherUpstreamSaysNothing) {
+TEST(upstream_feedback_test, AnAnswerOfAnotherUpstreamSaysNothing) {
   answer_attributes said = Refusal();
   said.is_leaving = true;
   said.is_mismatch = true;
-  const auto notices = ChooseNotices(said, kAttempt);
-  EXPECT_FALSE(notices.rest);
+  const auto notices = SelectFeedback(said, kAttempt);
+  EXPECT_FALSE(notices.backoff);
   EXPECT_FALSE(notices.is_leaving);
 }
 
-TEST(answer_notices_test, ALateAnswerToAnotherAttemptSaysNothing) {
+TEST(upstream_feedback_test, ALateAnswerToAnotherAttemptSaysNothing) {
   answer_attributes said = Refusal();
   said.is_leaving = true;
-  const auto notices = ChooseNotices(said, "a2");
-  EXPECT_FALSE(notices.rest);
+  const auto notices = SelectFeedback(said, "a2");
+  EXPECT_FALSE(notices.backoff);
   EXPECT_FALSE(notices.is_leaving);
 }
 
--- a/unittests/Edge/request_flow_test.cc
+++ b/unittests/Edge/request_flow_test.cc
@@ -60,8 +60,8 @@
 class silent_owner : public flow_owner {
  public:
   void OnFlowEvent(core_event /*event*/) override {}
-  void OnFlowNotices(const request_flow& /*flow*/,
-                     const answer_notices& notices) override {
+  void OnFlowFeedback(const request_flow& /*flow*/,
+                     const upstream_feedback& notices) override {
     if (notices.limit) {
       limits.push_back(*notices.limit);
     }
--- a/unittests/PlatformAdapter/http_protocol_test.cc
+++ b/unittests/PlatformAdapter/http_protocol_test.cc
@@ -124,7 +124,7 @@
     for (const std::string& value : values) {
       head.headers.push_back({"retry-after", value});
     }
-    return http_protocol().ReadAnswer(head).rest;
+    return http_protocol().ReadAnswer(head).backoff;
   };
   EXPECT_EQ(read({}).kind, notice_kind::kNone);
   for (const auto& [text, seconds] :
