--- a/include/cuminswitch/ConfigSync/config_sync.h
+++ b/include/cuminswitch/ConfigSync/config_sync.h
@@ -44,7 +44,7 @@
 
   void OnTick(time_point now, const member_table& members, action_list& out);
   void OnPlatformAnswer(time_point now,
-                        const platform_answer& answer,
+                        const platform_reply& answer,
                         action_list& out);
   /// A peer says which generation it has in force.
   void OnPeerGeneration(time_point now,
@@ -72,7 +72,7 @@
   void Consider(const std::string& head_bytes);
   void AdoptIfWhole(action_list& out);
   void StoreChunk(const std::string& hash, const std::string& text);
-  void OnHead(time_point now, const platform_answer& answer, action_list& out);
+  void OnHead(time_point now, const platform_reply& answer, action_list& out);
   void BackOff(time_point now);
 
   options options_;
--- a/include/cuminswitch/Core/decision_core.h
+++ b/include/cuminswitch/Core/decision_core.h
@@ -58,7 +58,7 @@
   void Handle(time_point now, const attempt_ended& event, action_list& out);
   void Handle(time_point now, const upstream_report& event, action_list& out);
   void Handle(time_point now, const peer_received& event, action_list& out);
-  void Handle(time_point now, const platform_answer& event, action_list& out);
+  void Handle(time_point now, const platform_reply& event, action_list& out);
   void Handle(time_point now, const tick& event, action_list& out);
   void Handle(time_point now, const stop_requested& event, action_list& out);
 
--- a/include/cuminswitch/Core/request_router.h
+++ b/include/cuminswitch/Core/request_router.h
@@ -308,7 +308,7 @@
   static outcome JudgeRefused(const request& item);
   void ReportFinish(const request& item,
                     outcome result,
-                    const recorded_answer& answer,
+                    const recorded_response& answer,
                     action_list& out) const;
   void Erase(request_id id);
   std::span<const std::string> AllowedDomains(const request& item) const;
--- a/include/cuminswitch/Daemon/daemon_message.h
+++ b/include/cuminswitch/Daemon/daemon_message.h
@@ -33,7 +33,7 @@
 
 using gateway_message = std::variant<dispatch_attempt,
                                      cancel_attempt,
-                                     answer_request,
+                                     local_response,
                                      probe_upstream,
                                      configuration_adopted,
                                      members_changed,
--- a/include/cuminswitch/Daemon/gateway_task.h
+++ b/include/cuminswitch/Daemon/gateway_task.h
@@ -60,7 +60,7 @@
 
   void Take(const dispatch_attempt& action);
   void Take(const cancel_attempt& action);
-  void Take(const answer_request& action);
+  void Take(const local_response& action);
   void Take(const probe_upstream& action);
   void Take(const configuration_adopted& action);
   void Take(const members_changed& action);
--- a/include/cuminswitch/Daemon/request_relay.h
+++ b/include/cuminswitch/Daemon/request_relay.h
@@ -53,7 +53,7 @@
 
   void Dispatch(const dispatch_attempt& action, http_client& client);
   /// Gives the caller the daemon's own answer.
-  void Answer(const answer_request& action);
+  void Answer(const local_response& action);
   /// The caller closed its connection; the attempt goes on until the core
   /// says otherwise.
   void OnCallerGone();
@@ -78,7 +78,7 @@
   void ReportEnd(attempt_ended event);
   attempt_ended MakeAnswered() const;
   bool IsStream() const { return is_stream_; }
-  void SendErrorEvent(const answer_request& action);
+  void SendErrorEvent(const local_response& action);
 
   options options_;
   relay_observer& observer_;
--- a/include/cuminswitch/Edge/answer_notices.h
+++ b/include/cuminswitch/Edge/answer_notices.h
@@ -24,7 +24,7 @@
 
 /// Chooses what counts of \p said, the head of an answer on the connection of
 /// the attempt \p attempt.
-upstream_feedback SelectFeedback(const answer_attributes& said,
+upstream_feedback SelectFeedback(const response_attributes& said,
                              std::string_view attempt);
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Edge/attempt_verdict.h
+++ b/include/cuminswitch/Edge/attempt_verdict.h
@@ -31,7 +31,7 @@
 };
 
 /// How much of the answer the caller already has.
-enum class answer_progress : uint8_t { kNothing, kBegun };
+enum class response_progress : uint8_t { kNothing, kBegun };
 
 /// What to do about it.
 enum class verdict_action : uint8_t {
@@ -60,7 +60,7 @@
 /// Judges an attempt. \p may_repeat says that the request may run again, for a
 /// stream that it may go on elsewhere after its last event.
 attempt_verdict JudgeAttempt(attempt_answer answer,
-                             answer_progress progress,
+                             response_progress progress,
                              bool may_repeat);
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Edge/edge_protocol.h
+++ b/include/cuminswitch/Edge/edge_protocol.h
@@ -66,7 +66,7 @@
 };
 
 /// What an upstream's head says.
-struct answer_attributes {
+struct response_attributes {
   /// The attempt that it answers; empty where it does not say.
   std::string attempt;
   /// The upstream states that it did not run the request.
@@ -91,7 +91,7 @@
   virtual http_headers WriteRequest(
       const message_head& head,
       const dispatch_attributes& attributes) const = 0;
-  virtual answer_attributes ReadAnswer(const message_head& head) const = 0;
+  virtual response_attributes ReadAnswer(const message_head& head) const = 0;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Edge/request_flow.h
+++ b/include/cuminswitch/Edge/request_flow.h
@@ -91,7 +91,7 @@
   void Start();
   void Dispatch(time_point now, const dispatch_attempt& action);
   /// The router has no further upstream for it.
-  void GiveUp(const answer_request& action);
+  void GiveUp(const local_response& action);
   /// Stops the present attempt.
   void CancelAttempt();
 
@@ -117,8 +117,8 @@
  private:
   void OnCallerGone() override;
   void OnCallerDrained() override;
-  void OnAnswerHead(const message_head& head) override;
-  void OnAnswerBody(std::string_view data) override;
+  void OnResponseHead(const message_head& head) override;
+  void OnResponseBody(std::string_view data) override;
   void OnCallEnd(call_end end) override;
 
   void OnDeadline();
@@ -143,7 +143,7 @@
   /// An answer of the present attempt.
   struct answer_state {
     message_head head;
-    answer_attributes attributes;
+    response_attributes attributes;
     std::string body;
   };
 
--- a/include/cuminswitch/Http1/caller_exchange.h
+++ b/include/cuminswitch/Http1/caller_exchange.h
@@ -23,7 +23,7 @@
 };
 
 /// How an answer's body is delimited for the caller.
-struct answer_framing {
+struct response_framing {
   /// Without a length the body goes in chunks.
   std::optional<uint64_t> content_length;
   /// Close the connection after this answer.
@@ -46,7 +46,7 @@
   virtual void SetListener(caller_listener* listener) = 0;
   virtual void SendHead(uint32_t status,
                         const http_headers& headers,
-                        const answer_framing& framing) = 0;
+                        const response_framing& framing) = 0;
   virtual void SendBody(std::string_view data) = 0;
   virtual void Finish() = 0;
   /// Ends the connection so that the answer cannot pass for complete.
--- a/include/cuminswitch/Http1/upstream_call.h
+++ b/include/cuminswitch/Http1/upstream_call.h
@@ -43,8 +43,8 @@
 class upstream_handler {
  public:
   virtual ~upstream_handler() = default;
-  virtual void OnAnswerHead(const message_head& head) = 0;
-  virtual void OnAnswerBody(std::string_view data) = 0;
+  virtual void OnResponseHead(const message_head& head) = 0;
+  virtual void OnResponseBody(std::string_view data) = 0;
   virtual void OnCallEnd(call_end end) = 0;
 };
 
--- a/include/cuminswitch/Once/shard_keeper.h
+++ b/include/cuminswitch/Once/shard_keeper.h
@@ -41,7 +41,7 @@
               action_list& out);
   void OnPlatformAnswer(time_point now,
                         uint64_t unix_now,
-                        const platform_answer& answer,
+                        const platform_reply& answer,
                         action_list& out);
   void OnStart(time_point now,
                uint64_t unix_now,
--- a/include/cuminswitch/Once/shard_ledger.h
+++ b/include/cuminswitch/Once/shard_ledger.h
@@ -49,7 +49,7 @@
   void OnTick(time_point now, uint64_t unix_now, action_list& out);
   void OnPlatformAnswer(time_point now,
                         uint64_t unix_now,
-                        const platform_answer& answer,
+                        const platform_reply& answer,
                         action_list& out);
   void OnStart(time_point now,
                uint64_t unix_now,
@@ -93,7 +93,7 @@
     uint64_t issued = 0;
     hash128 request_digest;
     grantee asker;
-    recorded_answer answer;
+    recorded_response answer;
   };
   /// What the outstanding call on the platform is for.
   enum class pending_call : uint8_t {
@@ -113,7 +113,7 @@
   void Reply(const grantee& asker,
              start_verdict verdict,
              action_list& out,
-             const recorded_answer& answer = {}) const;
+             const recorded_response& answer = {}) const;
   void Commit(time_point now, uint64_t unix_now, action_list& out);
   void Prune(uint64_t unix_now);
   shard_record MakeRecord() const;
@@ -121,13 +121,13 @@
             platform_operation operation,
             std::string value,
             action_list& out);
-  void OnClaimRead(const platform_answer& answer, action_list& out);
-  void OnClaimWrite(const platform_answer& answer, action_list& out);
+  void OnClaimRead(const platform_reply& answer, action_list& out);
+  void OnClaimWrite(const platform_reply& answer, action_list& out);
   void OnCommit(time_point now,
-                const platform_answer& answer,
+                const platform_reply& answer,
                 action_list& out);
   void OnReadBack(time_point now,
-                  const platform_answer& answer,
+                  const platform_reply& answer,
                   action_list& out);
   void GrantCommitted(action_list& out);
   void RefusePending(action_list& out);
--- a/include/cuminswitch/Platform/blocking_platform.h
+++ b/include/cuminswitch/Platform/blocking_platform.h
@@ -13,8 +13,8 @@
 class platform_store {
  public:
   virtual ~platform_store() = default;
-  virtual platform_answer Read(const std::string& key) = 0;
-  virtual platform_answer CompareAndSwap(const std::string& key,
+  virtual platform_reply Read(const std::string& key) = 0;
+  virtual platform_reply CompareAndSwap(const std::string& key,
                                          const std::string& value,
                                          revision_number expected) = 0;
 };
@@ -25,13 +25,13 @@
   explicit blocking_platform(const platform_client::options& opts)
       : options_(opts) {}
 
-  platform_answer Read(const std::string& key) override;
-  platform_answer CompareAndSwap(const std::string& key,
+  platform_reply Read(const std::string& key) override;
+  platform_reply CompareAndSwap(const std::string& key,
                                  const std::string& value,
                                  revision_number expected) override;
 
  private:
-  platform_answer Call(const platform_call& call);
+  platform_reply Call(const platform_call& call);
 
   platform_client::options options_;
 };
--- a/include/cuminswitch/Platform/platform_client.h
+++ b/include/cuminswitch/Platform/platform_client.h
@@ -25,7 +25,7 @@
     /// How long the service may hold a watch.
     std::chrono::milliseconds watch_time{20'000};
   };
-  using answer_callback = std::function<void(const platform_answer&)>;
+  using answer_callback = std::function<void(const platform_reply&)>;
 
   platform_client(event_base* base, const options& opts);
   platform_client(const platform_client&) = delete;
--- a/include/cuminswitch/Protocol/core_action.h
+++ b/include/cuminswitch/Protocol/core_action.h
@@ -69,7 +69,7 @@
 };
 
 /// The request's final answer, given by the daemon and not by an upstream.
-struct answer_request {
+struct local_response {
   request_id request = 0;
   outcome result = outcome::kNotRun;
   uint32_t status = 0;
@@ -79,7 +79,7 @@
   duration retry_after{0};
   std::string message;
   /// The earlier answer to the same key, when `result` is `kAnswered`.
-  recorded_answer recorded;
+  recorded_response recorded;
   /// What a refusal for lateness was decided from.
   std::optional<expected_wait> wait;
 };
@@ -111,7 +111,7 @@
 
 using core_action = std::variant<dispatch_attempt,
                                  cancel_attempt,
-                                 answer_request,
+                                 local_response,
                                  send_peer,
                                  platform_call,
                                  probe_upstream,
--- a/include/cuminswitch/Protocol/core_event.h
+++ b/include/cuminswitch/Protocol/core_event.h
@@ -162,7 +162,7 @@
   uint32_t prompt_tokens = 0;
   uint32_t cached_tokens = 0;
   /// The answer, where it is whole, short enough and may be asked for again.
-  recorded_answer answer;
+  recorded_response answer;
 };
 
 /// A model that an engine has loaded.
@@ -206,7 +206,7 @@
                                 attempt_ended,
                                 upstream_report,
                                 peer_received,
-                                platform_answer,
+                                platform_reply,
                                 tick,
                                 stop_requested>;
 
--- a/include/cuminswitch/Protocol/peer_message.h
+++ b/include/cuminswitch/Protocol/peer_message.h
@@ -99,7 +99,7 @@
 };
 
 /// An answer kept so that a repeat of its key gets the same one.
-struct recorded_answer {
+struct recorded_response {
   uint32_t status = 0;
   std::string content_type;
   std::string body;
@@ -110,7 +110,7 @@
   start_verdict verdict = start_verdict::kRefused;
   epoch_number epoch = 0;
   uint32_t retry_after_seconds = 0;
-  recorded_answer answer;
+  recorded_response answer;
 };
 
 /// Tells a shard's owner how a started request ended.
@@ -118,7 +118,7 @@
   shard_number shard = 0;
   key_hash key;
   outcome result = outcome::kUnknown;
-  recorded_answer answer;
+  recorded_response answer;
 };
 
 /// Gives a grant back unused: nothing ran, and nothing will under it.
--- a/include/cuminswitch/Protocol/platform_call.h
+++ b/include/cuminswitch/Protocol/platform_call.h
@@ -62,7 +62,7 @@
   bool leaving = false;
 };
 
-struct platform_answer {
+struct platform_reply {
   call_tag tag;
   platform_status status = platform_status::kNoAnswer;
   revision_number revision = 0;
--- a/lib/ConfigSync/config_sync.cc
+++ b/lib/ConfigSync/config_sync.cc
@@ -62,7 +62,7 @@
 }
 
 void config_sync::OnHead(time_point now,
-                         const platform_answer& answer,
+                         const platform_reply& answer,
                          action_list& out) {
   watching_ = false;
   if (answer.status == platform_status::kNoAnswer) {
@@ -82,7 +82,7 @@
 }
 
 void config_sync::OnPlatformAnswer(time_point now,
-                                   const platform_answer& answer,
+                                   const platform_reply& answer,
                                    action_list& out) {
   if (answer.tag.owner == call_owner::kConfigurationHead) {
     OnHead(now, answer, out);
--- a/lib/Control/configuration_store.cc
+++ b/lib/Control/configuration_store.cc
@@ -17,7 +17,7 @@
 }
 
 configuration_store::current_head configuration_store::ReadHead() {
-  const platform_answer answer =
+  const platform_reply answer =
       platform_.Read(std::string(kConfigurationHeadKey));
   if (answer.status == platform_status::kAbsent) {
     return {};
@@ -37,7 +37,7 @@
 configuration configuration_store::ReadChunks(const configuration_head& head) {
   std::vector<configuration> fragments;
   for (const std::string& hash : head.chunk_hashes) {
-    const platform_answer answer = platform_.Read(ConfigurationChunkKey(hash));
+    const platform_reply answer = platform_.Read(ConfigurationChunkKey(hash));
     if (answer.status != platform_status::kOk) {
       throw store_error("cannot read chunk " + hash + " of generation " +
                         std::to_string(head.generation));
@@ -67,7 +67,7 @@
   if (generation == 0) {
     return {};
   }
-  const platform_answer answer = platform_.Read(GenerationKey(generation));
+  const platform_reply answer = platform_.Read(GenerationKey(generation));
   if (answer.status != platform_status::kOk) {
     throw store_error("generation " + std::to_string(generation) +
                       " is not kept");
@@ -81,7 +81,7 @@
   // The value is determined by the key, so a lost answer does no harm: it is
   // written again, and a conflict means that it is there.
   for (int attempt = 0; attempt < kSubmitAttempts; ++attempt) {
-    const platform_answer answer = platform_.CompareAndSwap(key, value, 0);
+    const platform_reply answer = platform_.CompareAndSwap(key, value, 0);
     if (answer.status != platform_status::kNoAnswer) {
       return;
     }
@@ -109,7 +109,7 @@
   }
   for (generation_number generation = first;
        generation < current.head.generation; ++generation) {
-    const platform_answer answer = platform_.Read(GenerationKey(generation));
+    const platform_reply answer = platform_.Read(GenerationKey(generation));
     if (answer.status == platform_status::kOk &&
         DecodeConfigurationHead(answer.value).submission == submission) {
       return generation;
@@ -139,7 +139,7 @@
     WriteOnce(GenerationKey(base), current.bytes);
   }
   for (int attempt = 0; attempt < kSubmitAttempts; ++attempt) {
-    const platform_answer answer = platform_.CompareAndSwap(
+    const platform_reply answer = platform_.CompareAndSwap(
         std::string(kConfigurationHeadKey), EncodeConfigurationHead(next),
         current.revision);
     if (answer.status == platform_status::kOk) {
--- a/lib/Core/decision_core.cc
+++ b/lib/Core/decision_core.cc
@@ -127,7 +127,7 @@
 }
 
 void decision_core::Handle(time_point now,
-                           const platform_answer& event,
+                           const platform_reply& event,
                            action_list& out) {
   router_.SetPlatformReachable(event.status != platform_status::kNoAnswer);
   switch (event.tag.owner) {
--- a/lib/Core/request_refusals.cc
+++ b/lib/Core/request_refusals.cc
@@ -139,7 +139,7 @@
     ReportFinish(item, outcome::kUnknown, {}, out);
   }
   ++(result == outcome::kNotRun ? counters_.not_run : counters_.unknown);
-  out.push_back(answer_request{.request = id,
+  out.push_back(local_response{.request = id,
                                .result = result,
                                .status = why.status,
                                .retry_after_seconds = why.retry_after_seconds,
--- a/lib/Core/request_starts.cc
+++ b/lib/Core/request_starts.cc
@@ -121,7 +121,7 @@
              out);
       return;
     case start_verdict::kAnswered:
-      out.push_back(answer_request{.request = reply.request,
+      out.push_back(local_response{.request = reply.request,
                                    .result = outcome::kAnswered,
                                    .status = reply.answer.status,
                                    .retry_after_seconds = 0,
@@ -135,7 +135,7 @@
 
 void request_router::ReportFinish(const request& item,
                                   outcome result,
-                                  const recorded_answer& answer,
+                                  const recorded_response& answer,
                                   action_list& out) const {
   if (!item.once || item.epoch == 0) {
     return;
--- a/lib/Daemon/gateway_task.cc
+++ b/lib/Daemon/gateway_task.cc
@@ -146,7 +146,7 @@
   relay_by_attempt_.erase(found);
 }
 
-void gateway_task::Take(const answer_request& action) {
+void gateway_task::Take(const local_response& action) {
   if (request_relay* relay = FindRelay(action.request)) {
     relay->Answer(action);
   }
--- a/lib/Daemon/platform_task.cc
+++ b/lib/Daemon/platform_task.cc
@@ -19,7 +19,7 @@
 }
 
 void platform_task::Receive(platform_call message) {
-  client_->Call(message, [this](const platform_answer& answer) {
+  client_->Call(message, [this](const platform_reply& answer) {
     services_.FindPort<decision_message>(kDecisionService)
         .Post(core_event(answer));
   });
--- a/lib/Daemon/request_relay.cc
+++ b/lib/Daemon/request_relay.cc
@@ -209,7 +209,7 @@
   }
 }
 
-void request_relay::SendErrorEvent(const answer_request& action) {
+void request_relay::SendErrorEvent(const local_response& action) {
   const nlohmann::json error = {
       {"error",
        {{"message", action.message}, {"outcome", ToString(action.result)}}}};
@@ -217,7 +217,7 @@
   options_.caller->EndStream();
 }
 
-void request_relay::Answer(const answer_request& action) {
+void request_relay::Answer(const local_response& action) {
   http_exchange& caller = *options_.caller;
   http_headers headers = OutcomeHeaders(action.result);
   if (action.retry_after_seconds != 0) {
--- a/lib/Edge/answer_notices.cc
+++ b/lib/Edge/answer_notices.cc
@@ -2,7 +2,7 @@
 
 namespace cuminswitch {
 
-upstream_feedback SelectFeedback(const answer_attributes& said,
+upstream_feedback SelectFeedback(const response_attributes& said,
                              std::string_view attempt) {
   upstream_feedback notices{
       .load = said.load, .limit = std::nullopt, .backoff = std::nullopt};
--- a/lib/Edge/attempt_verdict.cc
+++ b/lib/Edge/attempt_verdict.cc
@@ -25,9 +25,9 @@
 }
 
 attempt_verdict JudgeAttempt(attempt_answer answer,
-                             answer_progress progress,
+                             response_progress progress,
                              bool may_repeat) {
-  const bool has_begun = progress == answer_progress::kBegun;
+  const bool has_begun = progress == response_progress::kBegun;
   switch (answer) {
     case attempt_answer::kSuccess:
       return {.result = outcome::kAnswered, .action = verdict_action::kHandOn};
--- a/lib/Edge/edge_task.cc
+++ b/lib/Edge/edge_task.cc
@@ -168,7 +168,7 @@
       CancelAttempt(cancel->attempt);
     } else if (const auto* dispatch = std::get_if<dispatch_attempt>(&action)) {
       Perform(now, *dispatch);
-    } else if (const auto* answer = std::get_if<answer_request>(&action)) {
+    } else if (const auto* answer = std::get_if<local_response>(&action)) {
       if (request_flow* flow = FindFlow(answer->request)) {
         flow->GiveUp(*answer);
       }
--- a/lib/Edge/request_flow.cc
+++ b/lib/Edge/request_flow.cc
@@ -139,7 +139,7 @@
   call_.reset();
 }
 
-void request_flow::OnAnswerHead(const message_head& head) {
+void request_flow::OnResponseHead(const message_head& head) {
   answer_.head = head;
   answer_.attributes = with_.protocol.ReadAnswer(head);
   with_.owner.OnFlowFeedback(
@@ -148,7 +148,7 @@
 
 /// Whether the head is of a success that can be this attempt's.
 static bool IsGenuineSuccess(const message_head& head,
-                             const answer_attributes& attributes,
+                             const response_attributes& attributes,
                              const std::string& attempt) {
   static constexpr uint32_t kFirstSuccess = 200;
   static constexpr uint32_t kPastSuccess = 300;
@@ -163,7 +163,7 @@
                           options_.request.attempt);
 }
 
-void request_flow::OnAnswerBody(std::string_view data) {
+void request_flow::OnResponseBody(std::string_view data) {
   AwaitBytes();
   if (!IsForwarding()) {
     answer_.body.append(data);
@@ -225,7 +225,7 @@
     case call_end::kComplete:
       break;
   }
-  const answer_attributes& attributes = answer_.attributes;
+  const response_attributes& attributes = answer_.attributes;
   const bool is_other = !attributes.attempt.empty() &&
                         attributes.attempt != options_.request.attempt;
   if (is_other) {
@@ -255,8 +255,8 @@
 }
 
 void request_flow::Judge(attempt_answer answer) {
-  const answer_progress progress =
-      is_head_sent_ ? answer_progress::kBegun : answer_progress::kNothing;
+  const response_progress progress =
+      is_head_sent_ ? response_progress::kBegun : response_progress::kNothing;
   const attempt_verdict verdict =
       JudgeAttempt(answer, progress, options_.route->MayRepeat());
   if (verdict.result == outcome::kNotRun) {
@@ -335,7 +335,7 @@
        .reason = "upstream_failure"});
 }
 
-void request_flow::GiveUp(const answer_request& action) {
+void request_flow::GiveUp(const local_response& action) {
   if (has_ended_) {
     return;
   }
--- a/lib/Http1/caller_connection.cc
+++ b/lib/Http1/caller_connection.cc
@@ -170,7 +170,7 @@
 
 void caller_connection::SendHead(uint32_t status,
                                  const http_headers& headers,
-                                 const answer_framing& framing) {
+                                 const response_framing& framing) {
   close_after_ = close_after_ || framing.close || server_.IsDraining();
   is_chunked_ = !framing.content_length.has_value();
   std::string text =
--- a/lib/Http1/caller_connection.h
+++ b/lib/Http1/caller_connection.h
@@ -29,7 +29,7 @@
   void SetListener(caller_listener* listener) override { listener_ = listener; }
   void SendHead(uint32_t status,
                 const http_headers& headers,
-                const answer_framing& framing) override;
+                const response_framing& framing) override;
   void SendBody(std::string_view data) override;
   void Finish() override;
   void Abort() override;
--- a/lib/Http1/upstream_connection.cc
+++ b/lib/Http1/upstream_connection.cc
@@ -143,13 +143,13 @@
   close_announced_ = !head.keep_alive || head.ends_with_connection;
   keep_time_ = ReadKeepTime(head.Find("Keep-Alive"));
   if (call_ != nullptr) {
-    call_->handler().OnAnswerHead(head);
+    call_->handler().OnResponseHead(head);
   }
 }
 
 void upstream_connection::OnBody(std::string_view data) {
   if (call_ != nullptr) {
-    call_->handler().OnAnswerBody(data);
+    call_->handler().OnResponseBody(data);
   }
 }
 
--- a/lib/Once/shard_keeper.cc
+++ b/lib/Once/shard_keeper.cc
@@ -127,7 +127,7 @@
 
 void shard_keeper::OnPlatformAnswer(time_point now,
                                     uint64_t unix_now,
-                                    const platform_answer& answer,
+                                    const platform_reply& answer,
                                     action_list& out) {
   if (answer.tag.shard < slots_.size()) {
     slots_[answer.tag.shard].ledger.OnPlatformAnswer(now, unix_now, answer,
--- a/lib/Once/shard_ledger.cc
+++ b/lib/Once/shard_ledger.cc
@@ -114,7 +114,7 @@
 void shard_ledger::Reply(const grantee& asker,
                          start_verdict verdict,
                          action_list& out,
-                         const recorded_answer& answer) const {
+                         const recorded_response& answer) const {
   const bool refused = verdict == start_verdict::kRefused;
   out.push_back(send_peer{
       .to = asker.reply_to,
@@ -232,7 +232,7 @@
 
 void shard_ledger::OnPlatformAnswer(time_point now,
                                     uint64_t unix_now,
-                                    const platform_answer& answer,
+                                    const platform_reply& answer,
                                     action_list& out) {
   if (answer.tag.serial != call_serial_ || call_ == pending_call::kNone) {
     return;
@@ -264,7 +264,7 @@
   Commit(now, unix_now, out);
 }
 
-void shard_ledger::OnClaimRead(const platform_answer& answer,
+void shard_ledger::OnClaimRead(const platform_reply& answer,
                                action_list& out) {
   if (answer.status == platform_status::kNoAnswer) {
     state_ = ownership::kNone;
@@ -280,7 +280,7 @@
        EncodeShardRecord(MakeRecord()), out);
 }
 
-void shard_ledger::OnClaimWrite(const platform_answer& answer,
+void shard_ledger::OnClaimWrite(const platform_reply& answer,
                                 action_list& out) {
   switch (answer.status) {
     case platform_status::kOk:
@@ -298,7 +298,7 @@
 }
 
 void shard_ledger::OnCommit(time_point now,
-                            const platform_answer& answer,
+                            const platform_reply& answer,
                             action_list& out) {
   switch (answer.status) {
     case platform_status::kOk:
@@ -323,7 +323,7 @@
 }
 
 void shard_ledger::OnReadBack(time_point now,
-                              const platform_answer& answer,
+                              const platform_reply& answer,
                               action_list& out) {
   if (answer.status == platform_status::kNoAnswer) {
     next_read_back_ = now + kReadBackInterval;
--- a/lib/Platform/blocking_platform.cc
+++ b/lib/Platform/blocking_platform.cc
@@ -10,12 +10,12 @@
   void operator()(event_base* base) const { event_base_free(base); }
 };
 
-platform_answer blocking_platform::Call(const platform_call& call) {
+platform_reply blocking_platform::Call(const platform_call& call) {
   const std::unique_ptr<event_base, base_deleter> base(event_base_new());
-  platform_answer result;
+  platform_reply result;
   {
     platform_client client(base.get(), options_);
-    client.Call(call, [&](const platform_answer& answer) {
+    client.Call(call, [&](const platform_reply& answer) {
       result = answer;
       event_base_loopbreak(base.get());
     });
@@ -25,11 +25,11 @@
   return result;
 }
 
-platform_answer blocking_platform::Read(const std::string& key) {
+platform_reply blocking_platform::Read(const std::string& key) {
   return Call({.operation = platform_operation::kRead, .key = key});
 }
 
-platform_answer blocking_platform::CompareAndSwap(const std::string& key,
+platform_reply blocking_platform::CompareAndSwap(const std::string& key,
                                                   const std::string& value,
                                                   revision_number expected) {
   return Call({.operation = platform_operation::kCompareAndSwap,
--- a/lib/Platform/platform_client.cc
+++ b/lib/Platform/platform_client.cc
@@ -97,7 +97,7 @@
       answer_.hosts = ParseHosts(answer_.value);
     }
     const answer_callback on_answer = std::move(on_answer_);
-    const platform_answer answer = std::move(answer_);
+    const platform_reply answer = std::move(answer_);
     owner_.pending_.erase(this);
     on_answer(answer);
   }
@@ -124,7 +124,7 @@
   platform_operation operation_;
   revision_number expected_;
   answer_callback on_answer_;
-  platform_answer answer_;
+  platform_reply answer_;
   uint32_t status_ = 0;
   std::unique_ptr<http_call> call_;
 };
--- a/lib/Wire/peer_codec.cc
+++ b/lib/Wire/peer_codec.cc
@@ -44,7 +44,7 @@
 }
 
 Offset<wire::RecordedAnswer> ToWire(FlatBufferBuilder& builder,
-                                    const recorded_answer& value) {
+                                    const recorded_response& value) {
   const auto type = builder.CreateString(value.content_type);
   const auto body = builder.CreateVector(
       reinterpret_cast<const uint8_t*>(value.body.data()), value.body.size());
@@ -208,7 +208,7 @@
   return result;
 }
 
-recorded_answer FromWire(const wire::RecordedAnswer* value) {
+recorded_response FromWire(const wire::RecordedAnswer* value) {
   if (value == nullptr) {
     return {};
   }
--- a/test/Scenario/fake_platform.cc
+++ b/test/Scenario/fake_platform.cc
@@ -7,9 +7,9 @@
   return found == values_.end() ? 0 : found->second.revision;
 }
 
-platform_answer fake_platform::Apply(const platform_call& call) {
+platform_reply fake_platform::Apply(const platform_call& call) {
   ++calls_;
-  platform_answer answer{.tag = call.tag};
+  platform_reply answer{.tag = call.tag};
   if (call.operation == platform_operation::kListHosts) {
     answer.status = platform_status::kOk;
     answer.hosts = hosts_;
@@ -38,14 +38,14 @@
   return answer;
 }
 
-platform_answer fake_platform::Read(const std::string& key) {
+platform_reply fake_platform::Read(const std::string& key) {
   return Apply({.operation = platform_operation::kRead, .key = key});
 }
 
-platform_answer fake_platform::CompareAndSwap(const std::string& key,
+platform_reply fake_platform::CompareAndSwap(const std::string& key,
                                               const std::string& value,
                                               revision_number expected) {
-  platform_answer answer =
+  platform_reply answer =
       Apply({.operation = platform_operation::kCompareAndSwap,
              .key = key,
              .value = value,
--- a/test/Scenario/fake_platform.h
+++ b/test/Scenario/fake_platform.h
@@ -16,11 +16,11 @@
 class fake_platform : public platform_store {
  public:
   /// Carries the call out at once.
-  platform_answer Apply(const platform_call& call);
+  platform_reply Apply(const platform_call& call);
 
   /// For operators' tools, which run outside the world's time.
-  platform_answer Read(const std::string& key) override;
-  platform_answer CompareAndSwap(const std::string& key,
+  platform_reply Read(const std::string& key) override;
+  platform_reply CompareAndSwap(const std::string& key,
                                  const std::string& value,
                                  revision_number expected) override;
 
--- a/test/Scenario/world.cc
+++ b/test/Scenario/world.cc
@@ -221,7 +221,7 @@
                         time_point until) {
   if (platform_down_ || IsCut(name, kPlatformName)) {
     FeedLater(kPlatformTimeout, name, incarnation,
-              platform_answer{.tag = call.tag});
+              platform_reply{.tag = call.tag});
     return;
   }
   if (platform_.RevisionOf(call.key) == call.expected && now_ < until) {
@@ -240,13 +240,13 @@
     AnswerWatch(name, incarnation, call, now_ + kWatchTime);
     return;
   }
-  const platform_answer no_answer{.tag = call.tag};
+  const platform_reply no_answer{.tag = call.tag};
   if (platform_down_ || IsCut(name, kPlatformName)) {
     FeedLater(kPlatformTimeout, name, incarnation, no_answer);
     return;
   }
   After(platform_delay_ / 2, [this, name, incarnation, call, no_answer] {
-    platform_answer answer = platform_.Apply(call);
+    platform_reply answer = platform_.Apply(call);
     const bool is_write = call.operation == platform_operation::kCompareAndSwap;
     const bool lost = (is_write && lose_answers_ > 0) || platform_down_ ||
                       IsCut(name, kPlatformName) ||
@@ -311,7 +311,7 @@
   host.attempts.erase(action.attempt);
 }
 
-void world::Do(world_host& host, const answer_request& action) {
+void world::Do(world_host& host, const local_response& action) {
   const auto found = request_names_.find(action.request);
   if (found == request_names_.end()) {
     Break("an answer to a request that nobody sent from " + host.name);
--- a/test/Scenario/world.h
+++ b/test/Scenario/world.h
@@ -175,7 +175,7 @@
   void Carry(world_host& host, const core_action& action);
   void Do(world_host& host, const dispatch_attempt& action);
   void Do(world_host& host, const cancel_attempt& action);
-  void Do(world_host& host, const answer_request& action);
+  void Do(world_host& host, const local_response& action);
   void Do(world_host& host, const send_peer& action);
   void Do(world_host& host, const platform_call& action);
   void Do(world_host& host, const probe_upstream& action);
--- a/unittests/Core/crashing_request_test.cc
+++ b/unittests/Core/crashing_request_test.cc
@@ -97,12 +97,12 @@
 TEST_F(crashing_request_test, ItsCallerIsToldAtOnceAndTruly) {
   Arrive(kCrashing, repeat_rule::kRepeatable, 5);
   EXPECT_EQ(CrashAll(), kMostCrashes);
-  const auto first = TakeAction<answer_request>(out_);
+  const auto first = TakeAction<local_response>(out_);
   ASSERT_TRUE(first);
   EXPECT_EQ(first->result, outcome::kUnknown);
   EXPECT_EQ(first->status, 502U);
   Arrive(kCrashing, repeat_rule::kRepeatable, 5);
-  const auto next = TakeAction<answer_request>(out_);
+  const auto next = TakeAction<local_response>(out_);
   ASSERT_TRUE(next);
   EXPECT_EQ(next->result, outcome::kNotRun);
   EXPECT_EQ(next->status, 503U);
@@ -121,12 +121,12 @@
     Arrive(kSound, repeat_rule::kRepeatable, 2);
   }
   Arrive(kCrashing, repeat_rule::kRepeatable, 2);
-  EXPECT_FALSE(TakeAction<answer_request>(out_));
+  EXPECT_FALSE(TakeAction<local_response>(out_));
   for (const uint64_t upstream : {1, 2, 3}) {
     router_.quarantine().OnCrash(now_, kCrashing, upstream, now_);
   }
   router_.OnTick(now_, out_);
-  const auto answer = TakeAction<answer_request>(out_);
+  const auto answer = TakeAction<local_response>(out_);
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->result, outcome::kNotRun);
 }
--- a/unittests/Core/repeat_rules_test.cc
+++ b/unittests/Core/repeat_rules_test.cc
@@ -103,7 +103,7 @@
 TEST_F(repeat_rules_test, WhatRunsOnceIsNotTriedAgainAfterDoubt) {
   Arrive(1, repeat_rule::kOnce, 1);
   EXPECT_EQ(EndAll({.result = outcome::kUnknown}), 1);
-  EXPECT_EQ(Take<answer_request>()->result, outcome::kUnknown);
+  EXPECT_EQ(Take<local_response>()->result, outcome::kUnknown);
 }
 
 TEST_F(repeat_rules_test, WhatRepeatsRunsAtMostAsOftenAsItsRouteAllows) {
@@ -117,7 +117,7 @@
 TEST_F(repeat_rules_test, ARefusedRequestLeavesTheBudgetToOthers) {
   Arrive(1, repeat_rule::kOnce, 1);
   EXPECT_EQ(EndAll({.result = outcome::kNotRun, .refused_busy = true}), 3);
-  const auto answer = Take<answer_request>();
+  const auto answer = Take<local_response>();
   EXPECT_EQ(answer->result, outcome::kNotRun);
   EXPECT_EQ(answer->status, 503U);
   EXPECT_GT(answer->retry_after, duration(0));
@@ -160,7 +160,7 @@
   }
   Arrive(1, repeat_rule::kOnce, 1);
   EXPECT_FALSE(Take<dispatch_attempt>());
-  EXPECT_EQ(Take<answer_request>()->status, 503U);
+  EXPECT_EQ(Take<local_response>()->status, 503U);
 }
 
 TEST_F(repeat_rules_test, OldWeightsServeForAWhile) {
@@ -220,7 +220,7 @@
   router_->OnTick(now_, out_);
   EXPECT_EQ(Take<cancel_attempt>()->attempt, dispatch->attempt);
   EXPECT_FALSE(Take<cancel_attempt>()) << "one that has begun goes on";
-  EXPECT_EQ(Take<answer_request>()->result, outcome::kUnknown);
+  EXPECT_EQ(Take<local_response>()->result, outcome::kUnknown);
 }
 
 }  // namespace
--- a/unittests/Core/request_router_test.cc
+++ b/unittests/Core/request_router_test.cc
@@ -222,7 +222,7 @@
   Arrive(1);
   End(Take<dispatch_attempt>()->attempt, outcome::kUnknown, true);
   EXPECT_FALSE(Take<dispatch_attempt>());
-  EXPECT_EQ(Take<answer_request>()->result, outcome::kUnknown);
+  EXPECT_EQ(Take<local_response>()->result, outcome::kUnknown);
 }
 
 // Symptom: a caller gets another's answer.
@@ -274,7 +274,7 @@
   }
   now_ += std::chrono::seconds(31);
   router_.OnTick(now_, out_);
-  const auto answer = Take<answer_request>();
+  const auto answer = Take<local_response>();
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->result, outcome::kNotRun);
   EXPECT_GT(answer->retry_after_seconds, 0U);
@@ -288,7 +288,7 @@
     Arrive(id, "v", std::chrono::seconds(5));
   }
   EXPECT_EQ(router_.counters().shed, 0U);
-  EXPECT_FALSE(Take<answer_request>());
+  EXPECT_FALSE(Take<local_response>());
 }
 
 // Symptom: callers wait until their deadline for an answer that was never to
@@ -304,17 +304,17 @@
     Arrive(id, "v", std::chrono::seconds(20));
   }
   EXPECT_GT(router_.counters().shed, 0U);
-  const auto answer = Take<answer_request>();
+  const auto answer = Take<local_response>();
   EXPECT_EQ(answer->status, 429U);
   EXPECT_GT(answer->retry_after_seconds, 0U);
 }
 
 TEST_F(request_router_test, UnknownNamesAreRefused) {
   Arrive(1, "nobody");
-  EXPECT_EQ(Take<answer_request>()->status, 404U);
+  EXPECT_EQ(Take<local_response>()->status, 404U);
   router_.OnRequest(now_, {.request = 2, .workspace = "v", .target = "x"},
                     out_);
-  EXPECT_EQ(Take<answer_request>()->status, 404U);
+  EXPECT_EQ(Take<local_response>()->status, 404U);
   EXPECT_TRUE(router_.IsIdle());
 }
 
@@ -340,7 +340,7 @@
                        .target_latency = std::chrono::milliseconds(300),
                        .caller_idle_timeout = std::chrono::seconds(4)},
                       out_);
-    if (const auto answer = Take<answer_request>()) {
+    if (const auto answer = Take<local_response>()) {
       ++refused;
       EXPECT_EQ(answer->result, outcome::kNotRun);
       EXPECT_EQ(answer->status, 429U);
@@ -393,7 +393,7 @@
         End(done, outcome::kAnswered, true);
       }
       Send();
-      refused += Take<answer_request>() ? 1 : 0;
+      refused += Take<local_response>() ? 1 : 0;
       // Also those that waited for room until now.
       while (const auto sent = Take<dispatch_attempt>()) {
         running_.emplace_back(sent->attempt, now_ + kComputing + excess);
@@ -442,7 +442,7 @@
   for (request_id id = 1; id <= 200; ++id) {
     Arrive(id);
   }
-  EXPECT_FALSE(Take<answer_request>());
+  EXPECT_FALSE(Take<local_response>());
 }
 
 // Symptom: 502 for a request whose engine was about to answer.
--- a/unittests/Core/upstream_limit_test.cc
+++ b/unittests/Core/upstream_limit_test.cc
@@ -130,7 +130,7 @@
   Answer(*TakeQuestion(), false, std::chrono::seconds(1));
   Answer(*TakeQuestion(), false, std::chrono::seconds(2));
   EXPECT_FALSE(Take<dispatch_attempt>());
-  EXPECT_FALSE(Take<answer_request>());
+  EXPECT_FALSE(Take<local_response>());
   now_ += std::chrono::milliseconds(990);
   router_.OnTick(now_, out_);
   EXPECT_FALSE(TakeQuestion());
@@ -151,7 +151,7 @@
   Arrive(1);
   Answer(*TakeQuestion(), false, std::chrono::seconds(7));
   Answer(*TakeQuestion(), false, std::chrono::seconds(6));
-  const auto refused = Take<answer_request>();
+  const auto refused = Take<local_response>();
   ASSERT_TRUE(refused);
   EXPECT_EQ(refused->result, outcome::kNotRun);
   EXPECT_EQ(refused->status, 429U);
--- a/unittests/Core/upstream_notice_test.cc
+++ b/unittests/Core/upstream_notice_test.cc
@@ -88,7 +88,7 @@
             now_, {.attempt = sent->attempt, .result = outcome::kAnswered},
             out_);
       }
-      EXPECT_FALSE(TakeAction<answer_request>(out_));
+      EXPECT_FALSE(TakeAction<local_response>(out_));
     }
     return used;
   }
@@ -137,7 +137,7 @@
   now_ += seconds(1);
   Arrive();
   EXPECT_FALSE(TakeSent());
-  const auto answer = TakeAction<answer_request>(out_);
+  const auto answer = TakeAction<local_response>(out_);
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->result, outcome::kNotRun);
   EXPECT_EQ(answer->status, 503U);
@@ -150,7 +150,7 @@
   RestAll(milliseconds(500));
   Arrive();
   EXPECT_FALSE(TakeSent());
-  EXPECT_FALSE(TakeAction<answer_request>(out_));
+  EXPECT_FALSE(TakeAction<local_response>(out_));
   now_ += milliseconds(510);
   router_.OnTick(now_, out_);
   EXPECT_TRUE(TakeSent());
--- a/unittests/Edge/answer_notices_test.cc
+++ b/unittests/Edge/answer_notices_test.cc
@@ -10,7 +10,7 @@
 constexpr backoff_notice kRest{.kind = notice_kind::kNamed,
                             .time = std::chrono::seconds(3)};
 
-answer_attributes Refusal() {
+response_attributes Refusal() {
   return {.attempt = kAttempt, .was_not_run = true, .backoff = kRest};
 }
 
@@ -24,14 +24,14 @@
 
 // A run that failed asks the caller to come back, and its upstream for nothing.
 TEST(upstream_feedback_test, OnlyARefusalAsksForRest) {
-  answer_attributes said = Refusal();
+  response_attributes said = Refusal();
   said.was_not_run = false;
   said.is_signed = true;
   EXPECT_FALSE(SelectFeedback(said, kAttempt).backoff);
 }
 
 TEST(upstream_feedback_test, AnyAnswerTellsThatItsUpstreamLeaves) {
-  answer_attributes said = Refusal();
+  response_attributes said = Refusal();
   said.is_leaving = true;
   EXPECT_TRUE(SelectFeedback(said, kAttempt).is_leaving);
   said = {.attempt = kAttempt, .is_signed = true, .is_leaving = true};
@@ -41,7 +41,7 @@
 
 // The address of an upstream that is gone may be another's.
 TEST(upstream_feedback_test, AnAnswerOfAnotherUpstreamSaysNothing) {
-  answer_attributes said = Refusal();
+  response_attributes said = Refusal();
   said.is_leaving = true;
   said.is_mismatch = true;
   const auto notices = SelectFeedback(said, kAttempt);
@@ -50,7 +50,7 @@
 }
 
 TEST(upstream_feedback_test, ALateAnswerToAnotherAttemptSaysNothing) {
-  answer_attributes said = Refusal();
+  response_attributes said = Refusal();
   said.is_leaving = true;
   const auto notices = SelectFeedback(said, "a2");
   EXPECT_FALSE(notices.backoff);
--- a/unittests/Edge/attempt_verdict_test.cc
+++ b/unittests/Edge/attempt_verdict_test.cc
@@ -11,7 +11,7 @@
 
 struct cell {
   attempt_answer answer;
-  answer_progress progress;
+  response_progress progress;
   bool may_repeat;
   outcome result;
   verdict_action action;
@@ -20,8 +20,8 @@
 TEST(attempt_verdict_test, EveryCell) {
   using enum attempt_answer;
   using enum verdict_action;
-  constexpr auto kNone = answer_progress::kNothing;
-  constexpr auto kSome = answer_progress::kBegun;
+  constexpr auto kNone = response_progress::kNothing;
+  constexpr auto kSome = response_progress::kBegun;
   const std::vector<cell> table = {
       {kSuccess, kNone, false, outcome::kAnswered, kHandOn},
       {kSuccess, kNone, true, outcome::kAnswered, kHandOn},
@@ -77,7 +77,7 @@
        {kSuccess, kFailure, kBroken, kStalled, kForeign}) {
     for (const bool may_repeat : {false, true}) {
       EXPECT_NE(
-          JudgeAttempt(answer, answer_progress::kNothing, may_repeat).result,
+          JudgeAttempt(answer, response_progress::kNothing, may_repeat).result,
           outcome::kNotRun);
     }
   }
--- a/unittests/Edge/request_flow_test.cc
+++ b/unittests/Edge/request_flow_test.cc
@@ -24,7 +24,7 @@
   void SetListener(caller_listener* /*listener*/) override {}
   void SendHead(uint32_t value,
                 const http_headers& /*headers*/,
-                const answer_framing& /*framing*/) override {
+                const response_framing& /*framing*/) override {
     status = value;
   }
   void SendBody(std::string_view data) override { sent += data; }
@@ -51,10 +51,10 @@
       const dispatch_attributes& /*attributes*/) const override {
     return {{.name = "Host", .value = "h"}};
   }
-  answer_attributes ReadAnswer(const message_head& /*head*/) const override {
+  response_attributes ReadAnswer(const message_head& /*head*/) const override {
     return answer;
   }
-  answer_attributes answer{.is_signed = true};
+  response_attributes answer{.is_signed = true};
 };
 
 class silent_owner : public flow_owner {
--- a/unittests/Http1/upstream_pool_test.cc
+++ b/unittests/Http1/upstream_pool_test.cc
@@ -15,8 +15,8 @@
 
 class recording_handler : public upstream_handler {
  public:
-  void OnAnswerHead(const message_head& value) override { head = value; }
-  void OnAnswerBody(std::string_view data) override { body += data; }
+  void OnResponseHead(const message_head& value) override { head = value; }
+  void OnResponseBody(std::string_view data) override { body += data; }
   void OnCallEnd(call_end value) override { end = value; }
   std::optional<message_head> head;
   std::string body;
--- a/unittests/PlatformAdapter/http_protocol_test.cc
+++ b/unittests/PlatformAdapter/http_protocol_test.cc
@@ -100,7 +100,7 @@
   head.headers = {{"X-Attempt-Id", "id1"},
                   {"X-Replica-Stamp", "s"},
                   {"X-Replica-Load", "3,2,8"}};
-  answer_attributes answer = http_protocol().ReadAnswer(head);
+  response_attributes answer = http_protocol().ReadAnswer(head);
   EXPECT_TRUE(answer.is_signed);
   EXPECT_FALSE(answer.was_not_run);
   EXPECT_EQ(answer.load->running, 3U);
