--- a/include/cuminswitch/Edge/attempt_verdict.h
+++ b/include/cuminswitch/Edge/attempt_verdict.h
@@ -11,7 +11,7 @@
 namespace cuminswitch {
 
 /// What came back from an upstream.
-enum class attempt_answer : uint8_t {
+enum class attempt_result : uint8_t {
   /// A whole answer of success, signed and for this attempt.
   kSuccess,
   /// A whole, signed answer of failure after a run.
@@ -27,39 +27,39 @@
   /// Nothing came for so long that this daemon gave the attempt up.
   kStalled,
   /// Something that is no answer to this attempt.
-  kForeign,
+  kUnrelated,
 };
 
 /// How much of the answer the caller already has.
 enum class response_progress : uint8_t { kNothing, kBegun };
 
 /// What to do about it.
-enum class verdict_action : uint8_t {
+enum class attempt_action : uint8_t {
   /// The caller gets this answer.
-  kHandOn,
+  kForward,
   /// Another upstream may be asked; if none can be, the caller gets this
   /// answer.
-  kPlaceAgainOrHandOn,
+  kRetryOrForward,
   /// Another upstream may be asked; if none can be, the caller is told what is
   /// known.
-  kPlaceAgain,
+  kRetry,
   /// The caller is told that the end is not known.
-  kTellUnknown,
+  kReportUnknown,
   /// The caller's connection ends, so that the answer cannot pass for whole.
-  kCutOff,
+  kAbort,
 };
 
-struct attempt_verdict {
+struct attempt_disposition {
   outcome result = outcome::kUnknown;
-  verdict_action action = verdict_action::kTellUnknown;
+  attempt_action action = attempt_action::kReportUnknown;
 };
 
 /// Returns the answer's name as it stands in logs.
-std::string_view ToString(attempt_answer value);
+std::string_view ToString(attempt_result value);
 
 /// Judges an attempt. \p may_repeat says that the request may run again, for a
 /// stream that it may go on elsewhere after its last event.
-attempt_verdict JudgeAttempt(attempt_answer answer,
+attempt_disposition ClassifyAttempt(attempt_result answer,
                              response_progress progress,
                              bool may_repeat);
 
--- a/include/cuminswitch/Edge/edge_task.h
+++ b/include/cuminswitch/Edge/edge_task.h
@@ -87,7 +87,7 @@
   void OnFlowFeedback(const request_flow& flow,
                      const upstream_feedback& notices) override;
   void OnFlowAttemptFailed(const request_flow& flow,
-                           attempt_answer answer,
+                           attempt_result answer,
                            uint32_t status) override;
   void OnFlowBroken(const endpoint& address) override;
   bool CanPlaceElsewhere(const request_flow& flow) override;
--- a/include/cuminswitch/Edge/request_flow.h
+++ b/include/cuminswitch/Edge/request_flow.h
@@ -48,7 +48,7 @@
                              const upstream_feedback& notices) = 0;
   /// An attempt ended otherwise than with success.
   virtual void OnFlowAttemptFailed(const request_flow& flow,
-                                   attempt_answer answer,
+                                   attempt_result answer,
                                    uint32_t status) = 0;
   /// A connection to \p address broke; others to it may be dead too.
   virtual void OnFlowBroken(const endpoint& address) = 0;
@@ -127,9 +127,9 @@
   void AwaitBytes();
   /// After how long a silent upstream is left for another.
   duration StallTime() const;
-  attempt_answer Classify(call_end end) const;
-  void Judge(attempt_answer answer);
-  void TellRouter(attempt_answer answer, const attempt_verdict& verdict);
+  attempt_result Classify(call_end end) const;
+  void Judge(attempt_result answer);
+  void TellRouter(attempt_result answer, const attempt_disposition& verdict);
   bool IsForwarding() const;
   void Forward(std::string_view data);
   void SendAnswerHead(std::optional<uint64_t> length);
--- a/include/cuminswitch/Edge/request_log.h
+++ b/include/cuminswitch/Edge/request_log.h
@@ -25,7 +25,7 @@
                            const dispatch_attempt& action);
 /// That an attempt ended otherwise than with success.
 log_line DescribeAttemptFailure(const request_flow& flow,
-                                attempt_answer answer,
+                                attempt_result answer,
                                 uint32_t status);
 /// How a request ended for its caller; of a refusal for lateness, from what it
 /// was decided.
--- a/lib/Edge/attempt_verdict.cc
+++ b/lib/Edge/attempt_verdict.cc
@@ -2,60 +2,60 @@
 
 namespace cuminswitch {
 
-std::string_view ToString(attempt_answer value) {
+std::string_view ToString(attempt_result value) {
   switch (value) {
-    case attempt_answer::kSuccess:
+    case attempt_result::kSuccess:
       return "success";
-    case attempt_answer::kFailure:
+    case attempt_result::kFailure:
       return "failure";
-    case attempt_answer::kRefused:
+    case attempt_result::kRefused:
       return "refused";
-    case attempt_answer::kMismatch:
+    case attempt_result::kMismatch:
       return "mismatch";
-    case attempt_answer::kNotConnected:
+    case attempt_result::kNotConnected:
       return "not_connected";
-    case attempt_answer::kBroken:
+    case attempt_result::kBroken:
       return "broken";
-    case attempt_answer::kStalled:
+    case attempt_result::kStalled:
       return "stalled";
-    case attempt_answer::kForeign:
+    case attempt_result::kUnrelated:
       return "foreign";
   }
   return "foreign";
 }
 
-attempt_verdict JudgeAttempt(attempt_answer answer,
+attempt_disposition ClassifyAttempt(attempt_result answer,
                              response_progress progress,
                              bool may_repeat) {
   const bool has_begun = progress == response_progress::kBegun;
   switch (answer) {
-    case attempt_answer::kSuccess:
-      return {.result = outcome::kAnswered, .action = verdict_action::kHandOn};
-    case attempt_answer::kFailure:
+    case attempt_result::kSuccess:
+      return {.result = outcome::kAnswered, .action = attempt_action::kForward};
+    case attempt_result::kFailure:
       // It ran. A failure in the middle of an answer cannot be shown.
       if (may_repeat) {
         return {.result = outcome::kUnknown,
-                .action = has_begun ? verdict_action::kPlaceAgain
-                                    : verdict_action::kPlaceAgainOrHandOn};
+                .action = has_begun ? attempt_action::kRetry
+                                    : attempt_action::kRetryOrForward};
       }
       return {.result = outcome::kAnswered,
-              .action = has_begun ? verdict_action::kCutOff
-                                  : verdict_action::kHandOn};
-    case attempt_answer::kRefused:
-    case attempt_answer::kMismatch:
-    case attempt_answer::kNotConnected:
+              .action = has_begun ? attempt_action::kAbort
+                                  : attempt_action::kForward};
+    case attempt_result::kRefused:
+    case attempt_result::kMismatch:
+    case attempt_result::kNotConnected:
       return {.result = outcome::kNotRun,
-              .action = verdict_action::kPlaceAgain};
-    case attempt_answer::kBroken:
-    case attempt_answer::kStalled:
-    case attempt_answer::kForeign:
+              .action = attempt_action::kRetry};
+    case attempt_result::kBroken:
+    case attempt_result::kStalled:
+    case attempt_result::kUnrelated:
       if (may_repeat) {
         return {.result = outcome::kUnknown,
-                .action = verdict_action::kPlaceAgain};
+                .action = attempt_action::kRetry};
       }
       return {.result = outcome::kUnknown,
-              .action = has_begun ? verdict_action::kCutOff
-                                  : verdict_action::kTellUnknown};
+              .action = has_begun ? attempt_action::kAbort
+                                  : attempt_action::kReportUnknown};
   }
   return {};
 }
--- a/lib/Edge/edge_task.cc
+++ b/lib/Edge/edge_task.cc
@@ -207,7 +207,7 @@
 }
 
 void edge_task::OnFlowAttemptFailed(const request_flow& flow,
-                                    attempt_answer answer,
+                                    attempt_result answer,
                                     uint32_t status) {
   with_.log.Write(log_class::kRequest,
                   DescribeAttemptFailure(flow, answer, status)
--- a/lib/Edge/request_flow.cc
+++ b/lib/Edge/request_flow.cc
@@ -130,7 +130,7 @@
   }
   call_.reset();
   with_.owner.OnFlowBroken(address_);
-  Judge(attempt_answer::kStalled);
+  Judge(attempt_result::kStalled);
 }
 
 void request_flow::CancelAttempt() {
@@ -214,14 +214,14 @@
                               {.content_length = length});
 }
 
-attempt_answer request_flow::Classify(call_end end) const {
+attempt_result request_flow::Classify(call_end end) const {
   switch (end) {
     case call_end::kNotConnected:
-      return attempt_answer::kNotConnected;
+      return attempt_result::kNotConnected;
     case call_end::kBroken:
-      return attempt_answer::kBroken;
+      return attempt_result::kBroken;
     case call_end::kMalformed:
-      return attempt_answer::kForeign;
+      return attempt_result::kUnrelated;
     case call_end::kComplete:
       break;
   }
@@ -229,19 +229,19 @@
   const bool is_other = !attributes.attempt.empty() &&
                         attributes.attempt != options_.request.attempt;
   if (is_other) {
-    return attempt_answer::kForeign;
+    return attempt_result::kUnrelated;
   }
   if (attributes.is_mismatch) {
-    return attempt_answer::kMismatch;
+    return attempt_result::kMismatch;
   }
   if (attributes.was_not_run) {
-    return attempt_answer::kRefused;
+    return attempt_result::kRefused;
   }
   if (IsGenuineSuccess(answer_.head, attributes, options_.request.attempt)) {
-    return attempt_answer::kSuccess;
+    return attempt_result::kSuccess;
   }
-  return answer_.head.status >= kFirstFailure ? attempt_answer::kFailure
-                                              : attempt_answer::kForeign;
+  return answer_.head.status >= kFirstFailure ? attempt_result::kFailure
+                                              : attempt_result::kUnrelated;
 }
 
 void request_flow::OnCallEnd(call_end end) {
@@ -254,52 +254,52 @@
   Judge(Classify(end));
 }
 
-void request_flow::Judge(attempt_answer answer) {
+void request_flow::Judge(attempt_result answer) {
   const response_progress progress =
       is_head_sent_ ? response_progress::kBegun : response_progress::kNothing;
-  const attempt_verdict verdict =
-      JudgeAttempt(answer, progress, options_.route->MayRepeat());
+  const attempt_disposition verdict =
+      ClassifyAttempt(answer, progress, options_.route->MayRepeat());
   if (verdict.result == outcome::kNotRun) {
     --runs_;
   } else {
     may_have_run_ = true;
   }
-  if (answer != attempt_answer::kSuccess) {
+  if (answer != attempt_result::kSuccess) {
     with_.owner.OnFlowAttemptFailed(*this, answer, answer_.head.status);
   }
   switch (verdict.action) {
-    case verdict_action::kHandOn:
+    case attempt_action::kForward:
       DeliverWhole();
       break;
-    case verdict_action::kPlaceAgainOrHandOn:
+    case attempt_action::kRetryOrForward:
       kept_failure_ = std::move(answer_);
       break;
-    case verdict_action::kPlaceAgain:
+    case attempt_action::kRetry:
       break;
-    case verdict_action::kTellUnknown:
+    case attempt_action::kReportUnknown:
       ReplyOwn({.result = outcome::kUnknown,
                 .status = status_code::kBadGateway,
                 .reason = "answer_broken"});
       break;
-    case verdict_action::kCutOff:
+    case attempt_action::kAbort:
       CutOff("answer_broken");
       break;
   }
   TellRouter(answer, verdict);
 }
 
-void request_flow::TellRouter(attempt_answer answer,
-                              const attempt_verdict& verdict) {
+void request_flow::TellRouter(attempt_result answer,
+                              const attempt_disposition& verdict) {
   // A failure that is handed on ran to its end, which is all the router needs.
   const bool is_final = has_ended_;
   with_.owner.OnFlowEvent(
       attempt_ended{.attempt = attempt_,
                     .result = verdict.result,
-                    .refused_busy = answer == attempt_answer::kRefused ||
-                                    answer == attempt_answer::kMismatch,
-                    .unreachable = answer == attempt_answer::kNotConnected,
-                    .failed_in_run = answer == attempt_answer::kFailure,
-                    .broke_off = answer == attempt_answer::kBroken,
+                    .refused_busy = answer == attempt_result::kRefused ||
+                                    answer == attempt_result::kMismatch,
+                    .unreachable = answer == attempt_result::kNotConnected,
+                    .failed_in_run = answer == attempt_result::kFailure,
+                    .broke_off = answer == attempt_result::kBroken,
                     .answer_begun = is_final,
                     .answer = {}});
 }
--- a/lib/Edge/request_log.cc
+++ b/lib/Edge/request_log.cc
@@ -35,14 +35,14 @@
 }
 
 log_line DescribeAttemptFailure(const request_flow& flow,
-                                attempt_answer answer,
+                                attempt_result answer,
                                 uint32_t status) {
   log_line line("attempt_failed");
   line.Add("id", flow.request().attempt)
       .Add("upstream", flow.upstream())
       .Add("answer", ToString(answer))
       .Add("status", status);
-  if (answer == attempt_answer::kBroken || answer == attempt_answer::kStalled) {
+  if (answer == attempt_result::kBroken || answer == attempt_result::kStalled) {
     // The id is new with each attempt of the caller; this stays the same.
     line.Add("digest", ToHex(flow.digest()));
   }
--- a/unittests/Edge/attempt_verdict_test.cc
+++ b/unittests/Edge/attempt_verdict_test.cc
@@ -10,56 +10,56 @@
 namespace {
 
 struct cell {
-  attempt_answer answer;
+  attempt_result answer;
   response_progress progress;
   bool may_repeat;
   outcome result;
-  verdict_action action;
+  attempt_action action;
 };
 
-TEST(attempt_verdict_test, EveryCell) {
-  using enum attempt_answer;
-  using enum verdict_action;
+TEST(attempt_disposition_test, EveryCell) {
+  using enum attempt_result;
+  using enum attempt_action;
   constexpr auto kNone = response_progress::kNothing;
   constexpr auto kSome = response_progress::kBegun;
   const std::vector<cell> table = {
-      {kSuccess, kNone, false, outcome::kAnswered, kHandOn},
-      {kSuccess, kNone, true, outcome::kAnswered, kHandOn},
-      {kSuccess, kSome, false, outcome::kAnswered, kHandOn},
-      {kSuccess, kSome, true, outcome::kAnswered, kHandOn},
-      {kFailure, kNone, false, outcome::kAnswered, kHandOn},
-      {kFailure, kNone, true, outcome::kUnknown, kPlaceAgainOrHandOn},
-      {kFailure, kSome, false, outcome::kAnswered, kCutOff},
-      {kFailure, kSome, true, outcome::kUnknown, kPlaceAgain},
-      {kRefused, kNone, false, outcome::kNotRun, kPlaceAgain},
-      {kRefused, kNone, true, outcome::kNotRun, kPlaceAgain},
-      {kRefused, kSome, false, outcome::kNotRun, kPlaceAgain},
-      {kRefused, kSome, true, outcome::kNotRun, kPlaceAgain},
-      {kMismatch, kNone, false, outcome::kNotRun, kPlaceAgain},
-      {kMismatch, kNone, true, outcome::kNotRun, kPlaceAgain},
-      {kMismatch, kSome, false, outcome::kNotRun, kPlaceAgain},
-      {kMismatch, kSome, true, outcome::kNotRun, kPlaceAgain},
-      {kNotConnected, kNone, false, outcome::kNotRun, kPlaceAgain},
-      {kNotConnected, kNone, true, outcome::kNotRun, kPlaceAgain},
-      {kNotConnected, kSome, false, outcome::kNotRun, kPlaceAgain},
-      {kNotConnected, kSome, true, outcome::kNotRun, kPlaceAgain},
-      {kBroken, kNone, false, outcome::kUnknown, kTellUnknown},
-      {kBroken, kNone, true, outcome::kUnknown, kPlaceAgain},
-      {kBroken, kSome, false, outcome::kUnknown, kCutOff},
-      {kBroken, kSome, true, outcome::kUnknown, kPlaceAgain},
-      {kStalled, kNone, false, outcome::kUnknown, kTellUnknown},
-      {kStalled, kNone, true, outcome::kUnknown, kPlaceAgain},
-      {kStalled, kSome, false, outcome::kUnknown, kCutOff},
-      {kStalled, kSome, true, outcome::kUnknown, kPlaceAgain},
-      {kForeign, kNone, false, outcome::kUnknown, kTellUnknown},
-      {kForeign, kNone, true, outcome::kUnknown, kPlaceAgain},
-      {kForeign, kSome, false, outcome::kUnknown, kCutOff},
-      {kForeign, kSome, true, outcome::kUnknown, kPlaceAgain},
+      {kSuccess, kNone, false, outcome::kAnswered, kForward},
+      {kSuccess, kNone, true, outcome::kAnswered, kForward},
+      {kSuccess, kSome, false, outcome::kAnswered, kForward},
+      {kSuccess, kSome, true, outcome::kAnswered, kForward},
+      {kFailure, kNone, false, outcome::kAnswered, kForward},
+      {kFailure, kNone, true, outcome::kUnknown, kRetryOrForward},
+      {kFailure, kSome, false, outcome::kAnswered, kAbort},
+      {kFailure, kSome, true, outcome::kUnknown, kRetry},
+      {kRefused, kNone, false, outcome::kNotRun, kRetry},
+      {kRefused, kNone, true, outcome::kNotRun, kRetry},
+      {kRefused, kSome, false, outcome::kNotRun, kRetry},
+      {kRefused, kSome, true, outcome::kNotRun, kRetry},
+      {kMismatch, kNone, false, outcome::kNotRun, kRetry},
+      {kMismatch, kNone, true, outcome::kNotRun, kRetry},
+      {kMismatch, kSome, false, outcome::kNotRun, kRetry},
+      {kMismatch, kSome, true, outcome::kNotRun, kRetry},
+      {kNotConnected, kNone, false, outcome::kNotRun, kRetry},
+      {kNotConnected, kNone, true, outcome::kNotRun, kRetry},
+      {kNotConnected, kSome, false, outcome::kNotRun, kRetry},
+      {kNotConnected, kSome, true, outcome::kNotRun, kRetry},
+      {kBroken, kNone, false, outcome::kUnknown, kReportUnknown},
+      {kBroken, kNone, true, outcome::kUnknown, kRetry},
+      {kBroken, kSome, false, outcome::kUnknown, kAbort},
+      {kBroken, kSome, true, outcome::kUnknown, kRetry},
+      {kStalled, kNone, false, outcome::kUnknown, kReportUnknown},
+      {kStalled, kNone, true, outcome::kUnknown, kRetry},
+      {kStalled, kSome, false, outcome::kUnknown, kAbort},
+      {kStalled, kSome, true, outcome::kUnknown, kRetry},
+      {kUnrelated, kNone, false, outcome::kUnknown, kReportUnknown},
+      {kUnrelated, kNone, true, outcome::kUnknown, kRetry},
+      {kUnrelated, kSome, false, outcome::kUnknown, kAbort},
+      {kUnrelated, kSome, true, outcome::kUnknown, kRetry},
   };
   EXPECT_EQ(table.size(), 8U * 2 * 2);
   for (const cell& item : table) {
-    const attempt_verdict verdict =
-        JudgeAttempt(item.answer, item.progress, item.may_repeat);
+    const attempt_disposition verdict =
+        ClassifyAttempt(item.answer, item.progress, item.may_repeat);
     const auto where = testing::Message()
                        << "answer " << static_cast<int>(item.answer)
                        << " progress " << static_cast<int>(item.progress)
@@ -71,13 +71,13 @@
 
 // Symptom: a caller repeats an order that has run.
 // Cause: a broken answer was told as "not run".
-TEST(attempt_verdict_test, NothingThatMayHaveRunIsToldAsNotRun) {
-  using enum attempt_answer;
-  for (const attempt_answer answer :
-       {kSuccess, kFailure, kBroken, kStalled, kForeign}) {
+TEST(attempt_disposition_test, NothingThatMayHaveRunIsToldAsNotRun) {
+  using enum attempt_result;
+  for (const attempt_result answer :
+       {kSuccess, kFailure, kBroken, kStalled, kUnrelated}) {
     for (const bool may_repeat : {false, true}) {
       EXPECT_NE(
-          JudgeAttempt(answer, response_progress::kNothing, may_repeat).result,
+          ClassifyAttempt(answer, response_progress::kNothing, may_repeat).result,
           outcome::kNotRun);
     }
   }
--- a/unittests/Edge/request_flow_test.cc
+++ b/unittests/Edge/request_flow_test.cc
@@ -67,7 +67,7 @@
     }
   }
   void OnFlowAttemptFailed(const request_flow& /*flow*/,
-                           attempt_answer /*answer*/,
+                           attempt_result /*answer*/,
                            uint32_t /*status*/) override {
     ++failed;
   }
