--- a/include/cuminswitch/Daemon/request_relay.h
+++ b/include/cuminswitch/Daemon/request_relay.h
@@ -68,12 +68,12 @@
  private:
   void OnHeaders(const http_response_head& head) override;
   void OnData(std::string_view data) override;
-  void OnEnd(http_end end) override;
+  void OnEnd(http_result end) override;
 
   void RelayStreamData(std::string_view data);
   void Keep(std::string_view data);
-  void EndStream(http_end end);
-  void EndWhole(http_end end);
+  void EndStream(http_result end);
+  void EndWhole(http_result end);
   /// Tells the core how the attempt ended.
   void ReportEnd(attempt_ended event);
   attempt_ended MakeAnswered() const;
--- a/include/cuminswitch/Daemon/upstream_probe.h
+++ b/include/cuminswitch/Daemon/upstream_probe.h
@@ -27,7 +27,7 @@
  private:
   void OnHeaders(const http_response_head& head) override;
   void OnData(std::string_view data) override;
-  void OnEnd(http_end end) override;
+  void OnEnd(http_result end) override;
 
   std::string upstream_;
   callback on_done_;
--- a/include/cuminswitch/Edge/edge_task.h
+++ b/include/cuminswitch/Edge/edge_task.h
@@ -89,9 +89,9 @@
   void OnFlowAttemptFailed(const request_flow& flow,
                            attempt_result answer,
                            uint32_t status) override;
-  void OnFlowBroken(const endpoint& address) override;
+  void OnConnectionLost(const endpoint& address) override;
   bool CanPlaceElsewhere(const request_flow& flow) override;
-  void OnFlowEnd(request_flow& flow, const flow_end& end) override;
+  void OnFlowEnd(request_flow& flow, const flow_result& end) override;
   const member* FindOwner(shard_number shard) const override;
   size_t CountServing() const override;
 
--- a/include/cuminswitch/Edge/request_flow.h
+++ b/include/cuminswitch/Edge/request_flow.h
@@ -27,7 +27,7 @@
 class upstream_pool;
 
 /// How a request ended for its caller, for logs and counts.
-struct flow_end {
+struct flow_result {
   outcome result = outcome::kUnknown;
   /// 0 when the connection was cut.
   uint32_t status = 0;
@@ -51,10 +51,10 @@
                                    attempt_result answer,
                                    uint32_t status) = 0;
   /// A connection to \p address broke; others to it may be dead too.
-  virtual void OnFlowBroken(const endpoint& address) = 0;
+  virtual void OnConnectionLost(const endpoint& address) = 0;
   /// Whether a request whose upstream is silent could go to another one now.
   virtual bool CanPlaceElsewhere(const request_flow& flow) = 0;
-  virtual void OnFlowEnd(request_flow& flow, const flow_end& end) = 0;
+  virtual void OnFlowEnd(request_flow& flow, const flow_result& end) = 0;
 };
 
 /// Carries out what the router decides about one request: sends attempts, and
@@ -119,7 +119,7 @@
   void OnCallerDrained() override;
   void OnResponseHead(const message_head& head) override;
   void OnResponseBody(std::string_view data) override;
-  void OnCallEnd(call_end end) override;
+  void OnCallEnd(upstream_call_result end) override;
 
   void OnDeadline();
   /// The upstream has been silent for long.
@@ -127,7 +127,7 @@
   void AwaitBytes();
   /// After how long a silent upstream is left for another.
   duration StallTime() const;
-  attempt_result Classify(call_end end) const;
+  attempt_result Classify(upstream_call_result end) const;
   void Judge(attempt_result answer);
   void TellRouter(attempt_result answer, const attempt_disposition& verdict);
   bool IsForwarding() const;
@@ -136,9 +136,9 @@
   void DeliverWhole();
   void DeliverKept();
   /// Answers in this daemon's own name, as \p end says.
-  void ReplyOwn(const flow_end& end);
+  void ReplyOwn(const flow_result& end);
   void CutOff(std::string_view reason);
-  void End(const flow_end& end);
+  void End(const flow_result& end);
 
   /// An answer of the present attempt.
   struct answer_state {
--- a/include/cuminswitch/Edge/request_log.h
+++ b/include/cuminswitch/Edge/request_log.h
@@ -15,7 +15,7 @@
 
 class request_flow;
 struct dispatch_attempt;
-struct flow_end;
+struct flow_result;
 struct quota_decision;
 struct quota_request;
 
@@ -31,7 +31,7 @@
 /// was decided.
 log_line DescribeEnd(time_point now,
                      const request_flow& flow,
-                     const flow_end& end);
+                     const flow_result& end);
 /// That a request is over its workspace's quota, and what that was decided
 /// from.
 log_line DescribeQuotaRefusal(const request_flow& flow,
--- a/include/cuminswitch/Http1/upstream_call.h
+++ b/include/cuminswitch/Http1/upstream_call.h
@@ -28,7 +28,7 @@
 };
 
 /// How a call ended.
-enum class call_end : uint8_t {
+enum class upstream_call_result : uint8_t {
   /// The answer is whole.
   kComplete,
   /// No connection came about: not one byte was sent.
@@ -45,7 +45,7 @@
   virtual ~upstream_handler() = default;
   virtual void OnResponseHead(const message_head& head) = 0;
   virtual void OnResponseBody(std::string_view data) = 0;
-  virtual void OnCallEnd(call_end end) = 0;
+  virtual void OnCallEnd(upstream_call_result end) = 0;
 };
 
 /// A call under way; destroying it cancels it by closing its connection.
--- a/include/cuminswitch/Net/blocking_http.h
+++ b/include/cuminswitch/Net/blocking_http.h
@@ -10,7 +10,7 @@
 namespace cuminswitch {
 
 struct blocking_response {
-  http_end end = http_end::kNotConnected;
+  http_result end = http_result::kNotConnected;
   http_response_head head;
   std::string body;
 };
--- a/include/cuminswitch/Net/http_call.h
+++ b/include/cuminswitch/Net/http_call.h
@@ -29,7 +29,7 @@
   void OnHeaderEvent(evhttp_request* request);
   void OnChunkEvent(evhttp_request* request);
   void OnConnectTimer();
-  void Finish(http_end end);
+  void Finish(http_result end);
   bool IsConnected() const;
 
   http_client& client_;
--- a/include/cuminswitch/Net/http_client.h
+++ b/include/cuminswitch/Net/http_client.h
@@ -39,7 +39,7 @@
 };
 
 /// How a call ended.
-enum class http_end : uint8_t {
+enum class http_result : uint8_t {
   kComplete,
   /// No connection came about: not one byte was sent.
   kNotConnected,
@@ -54,7 +54,7 @@
   virtual ~http_call_handler() = default;
   virtual void OnHeaders(const http_response_head& head) = 0;
   virtual void OnData(std::string_view data) = 0;
-  virtual void OnEnd(http_end end) = 0;
+  virtual void OnEnd(http_result end) = 0;
 };
 
 /// Makes calls on one event loop and keeps idle connections.
--- a/include/cuminswitch/Once/shard_ledger.h
+++ b/include/cuminswitch/Once/shard_ledger.h
@@ -111,7 +111,7 @@
                     const start_request& request,
                     action_list& out);
   void Reply(const grantee& asker,
-             start_verdict verdict,
+             start_result verdict,
              action_list& out,
              const recorded_response& answer = {}) const;
   void Commit(time_point now, uint64_t unix_now, action_list& out);
--- a/include/cuminswitch/Protocol/peer_message.h
+++ b/include/cuminswitch/Protocol/peer_message.h
@@ -81,7 +81,7 @@
 };
 
 /// What a shard's owner says to a `start_request`.
-enum class start_verdict : uint8_t {
+enum class start_result : uint8_t {
   /// The start is journaled; the asker alone may run it, once.
   kGranted,
   /// Nothing ran and nothing was journaled for this request.
@@ -107,7 +107,7 @@
 
 struct start_reply {
   request_id request = 0;
-  start_verdict verdict = start_verdict::kRefused;
+  start_result verdict = start_result::kRefused;
   epoch_number epoch = 0;
   uint32_t retry_after_seconds = 0;
   recorded_response answer;
--- a/lib/Core/request_starts.cc
+++ b/lib/Core/request_starts.cc
@@ -74,7 +74,7 @@
     // used must never be given back, so only abandoned starts are.
     const auto abandoned = abandoned_starts_.find(reply.request);
     if (abandoned != abandoned_starts_.end() &&
-        reply.verdict == start_verdict::kGranted) {
+        reply.verdict == start_result::kGranted) {
       if (const member* owner = members_.FindOwner(abandoned->second.shard)) {
         out.push_back(
             send_peer{.to = owner->peer_address, .message = abandoned->second});
@@ -84,26 +84,26 @@
   }
   request& item = found->second;
   switch (reply.verdict) {
-    case start_verdict::kGranted:
+    case start_result::kGranted:
       item.epoch = reply.epoch;
       Admit(now, item, out);
       return;
-    case start_verdict::kNotOwner:
+    case start_result::kNotOwner:
       return;
-    case start_verdict::kRefused:
+    case start_result::kRefused:
       Refuse(reply.request,
              {.status = status_code::kUnavailable,
               .retry_after_seconds = reply.retry_after_seconds,
               .message = "the start could not be recorded"},
              out);
       return;
-    case start_verdict::kExpired:
+    case start_result::kExpired:
       Refuse(reply.request,
              {.status = kUnprocessable,
               .message = "the Idempotency-Key is too old or from the future"},
              out);
       return;
-    case start_verdict::kMismatch:
+    case start_result::kMismatch:
       // The key belongs to another request; this one never ran.
       item.info.is_first_attempt = true;
       Refuse(reply.request,
@@ -111,7 +111,7 @@
               .message = "the Idempotency-Key was used for another request"},
              out);
       return;
-    case start_verdict::kStarted:
+    case start_result::kStarted:
       item.may_have_run = true;
       Refuse(reply.request,
              {.status = status_code::kConflict,
@@ -120,7 +120,7 @@
                          "its end is not known here"},
              out);
       return;
-    case start_verdict::kAnswered:
+    case start_result::kAnswered:
       out.push_back(local_response{.request = reply.request,
                                    .result = outcome::kAnswered,
                                    .status = reply.answer.status,
--- a/lib/Daemon/request_relay.cc
+++ b/lib/Daemon/request_relay.cc
@@ -125,7 +125,7 @@
   }
 }
 
-void request_relay::OnEnd(http_end end) {
+void request_relay::OnEnd(http_result end) {
   if (is_stream_) {
     EndStream(end);
   } else {
@@ -148,8 +148,8 @@
   return event;
 }
 
-void request_relay::EndStream(http_end end) {
-  if (end == http_end::kComplete && reader_.SawEnd()) {
+void request_relay::EndStream(http_result end) {
+  if (end == http_result::kComplete && reader_.SawEnd()) {
     options_.caller->EndStream();
     ReportEnd(MakeAnswered());
     return;
@@ -158,20 +158,20 @@
   // what it has for the whole, so the core will answer with an error event.
   ReportEnd({.attempt = attempt_,
              .result = outcome::kUnknown,
-             .broke_off = end == http_end::kBroken,
+             .broke_off = end == http_result::kBroken,
              .answer_begun = options_.caller->HasBegun()});
 }
 
-void request_relay::EndWhole(http_end end) {
-  if (end == http_end::kNotConnected) {
+void request_relay::EndWhole(http_result end) {
+  if (end == http_result::kNotConnected) {
     ReportEnd(
         {.attempt = attempt_, .result = outcome::kNotRun, .unreachable = true});
     return;
   }
-  if (end == http_end::kBroken || body_too_long_) {
+  if (end == http_result::kBroken || body_too_long_) {
     ReportEnd({.attempt = attempt_,
                .result = outcome::kUnknown,
-               .broke_off = end == http_end::kBroken});
+               .broke_off = end == http_result::kBroken});
     return;
   }
   // An upstream refuses before it runs with these, and only with these.
--- a/lib/Edge/edge_task.cc
+++ b/lib/Edge/edge_task.cc
@@ -214,7 +214,7 @@
                       .Add("revision", knowledge_->revision));
 }
 
-void edge_task::OnFlowBroken(const endpoint& address) {
+void edge_task::OnConnectionLost(const endpoint& address) {
   pool_.Forget(address);
 }
 
@@ -235,7 +235,7 @@
   return has_paused ? "pause" : "";
 }
 
-void edge_task::OnFlowEnd(request_flow& flow, const flow_end& end) {
+void edge_task::OnFlowEnd(request_flow& flow, const flow_result& end) {
   with_.log.Write(log_class::kRequest,
                   DescribeEnd(ReadBootClock(), flow, end)
                       .Add("configuration", knowledge_->plan->version));
--- a/lib/Edge/request_flow.cc
+++ b/lib/Edge/request_flow.cc
@@ -129,7 +129,7 @@
     return;
   }
   call_.reset();
-  with_.owner.OnFlowBroken(address_);
+  with_.owner.OnConnectionLost(address_);
   Judge(attempt_result::kStalled);
 }
 
@@ -214,15 +214,15 @@
                               {.content_length = length});
 }
 
-attempt_result request_flow::Classify(call_end end) const {
+attempt_result request_flow::Classify(upstream_call_result end) const {
   switch (end) {
-    case call_end::kNotConnected:
+    case upstream_call_result::kNotConnected:
       return attempt_result::kNotConnected;
-    case call_end::kBroken:
+    case upstream_call_result::kBroken:
       return attempt_result::kBroken;
-    case call_end::kMalformed:
+    case upstream_call_result::kMalformed:
       return attempt_result::kUnrelated;
-    case call_end::kComplete:
+    case upstream_call_result::kComplete:
       break;
   }
   const response_attributes& attributes = answer_.attributes;
@@ -244,12 +244,12 @@
                                               : attempt_result::kUnrelated;
 }
 
-void request_flow::OnCallEnd(call_end end) {
+void request_flow::OnCallEnd(upstream_call_result end) {
   // The call is on the stack; it is destroyed with the next one or the flow.
   const std::unique_ptr<upstream_call> ended = std::move(call_);
   stall_timer_.Cancel();
-  if (end == call_end::kBroken || end == call_end::kNotConnected) {
-    with_.owner.OnFlowBroken(address_);
+  if (end == upstream_call_result::kBroken || end == upstream_call_result::kNotConnected) {
+    with_.owner.OnConnectionLost(address_);
   }
   Judge(Classify(end));
 }
@@ -364,7 +364,7 @@
             .reason = action.message});
 }
 
-void request_flow::ReplyOwn(const flow_end& end) {
+void request_flow::ReplyOwn(const flow_result& end) {
   http_headers headers;
   if (end.retry_after > duration(0)) {
     headers.push_back(RetryAfter(end.retry_after));
@@ -420,7 +420,7 @@
   with_.owner.OnFlowEvent(caller_gone{.request = options_.id});
 }
 
-void request_flow::End(const flow_end& end) {
+void request_flow::End(const flow_result& end) {
   has_ended_ = true;
   timer_.Cancel();
   stall_timer_.Cancel();
--- a/lib/Edge/request_log.cc
+++ b/lib/Edge/request_log.cc
@@ -64,7 +64,7 @@
 
 log_line DescribeEnd(time_point now,
                      const request_flow& flow,
-                     const flow_end& end) {
+                     const flow_result& end) {
   log_line line("request_ended");
   line.Add("id", flow.request().attempt)
       .Add("route", flow.route().name)
--- a/lib/Http1/pooled_call.h
+++ b/lib/Http1/pooled_call.h
@@ -28,7 +28,7 @@
 
   upstream_handler& handler() { return handler_; }
   /// The call has ended; the connection goes back to the pool.
-  void End(call_end end);
+  void End(upstream_call_result end);
 
  private:
   upstream_pool& pool_;
--- a/lib/Http1/upstream_connection.cc
+++ b/lib/Http1/upstream_connection.cc
@@ -165,11 +165,11 @@
   while (call_ != nullptr && evbuffer_get_length(input) > 0) {
     const read_result result = ReadFront(reader_, input);
     if (result == read_result::kMessageDone) {
-      End(call_end::kComplete);
+      End(upstream_call_result::kComplete);
       return;
     }
     if (result != read_result::kNeedMore) {
-      End(call_end::kMalformed);
+      End(upstream_call_result::kMalformed);
       return;
     }
   }
@@ -187,14 +187,14 @@
     return;
   }
   if (!is_connected_) {
-    End(call_end::kNotConnected);
+    End(upstream_call_result::kNotConnected);
     return;
   }
   const bool is_orderly = (what & BEV_EVENT_EOF) != 0;
   const bool is_whole =
       is_orderly && reader_.ReadEnd() == read_result::kMessageDone;
   close_announced_ = true;
-  End(is_whole ? call_end::kComplete : call_end::kBroken);
+  End(is_whole ? upstream_call_result::kComplete : upstream_call_result::kBroken);
 }
 
 void upstream_connection::OnTimeout() {
@@ -203,16 +203,16 @@
     return;
   }
   if (!is_connected_) {
-    End(call_end::kNotConnected);
+    End(upstream_call_result::kNotConnected);
   }
 }
 
-void upstream_connection::End(call_end end) {
+void upstream_connection::End(upstream_call_result end) {
   ++served_;
   const bool has_more = evbuffer_get_length(bufferevent_get_input(stream_)) > 0;
   // An answer that came before the whole request was sent leaves the rest of
   // the request due; nothing else may be sent in its place.
-  is_reusable_ = end == call_end::kComplete && !close_announced_ && !has_more &&
+  is_reusable_ = end == upstream_call_result::kComplete && !close_announced_ && !has_more &&
                  !HasUnsentBytes() && keep_time_.count() > 0;
   idle_since_ = std::chrono::steady_clock::now();
   if (is_reusable_) {
--- a/lib/Http1/upstream_connection.h
+++ b/lib/Http1/upstream_connection.h
@@ -46,7 +46,7 @@
   void OnReadable();
   void OnEvent(short what);
   void OnTimeout();
-  void End(call_end end);
+  void End(upstream_call_result end);
   void BecomeIdle();
   bool HasUnsentBytes() const;
 
--- a/lib/Http1/upstream_pool.cc
+++ b/lib/Http1/upstream_pool.cc
@@ -130,7 +130,7 @@
   }
 }
 
-void pooled_call::End(call_end end) {
+void pooled_call::End(upstream_call_result end) {
   connection_->SetReading(true);
   pool_.GiveBack(std::move(connection_));
   handler_.OnCallEnd(end);
--- a/lib/Net/blocking_http.cc
+++ b/lib/Net/blocking_http.cc
@@ -22,7 +22,7 @@
     response.head = head;
   }
   void OnData(std::string_view data) override { response.body += data; }
-  void OnEnd(http_end end) override {
+  void OnEnd(http_result end) override {
     response.end = end;
     event_base_loopbreak(base_);
   }
--- a/lib/Net/http_call.cc
+++ b/lib/Net/http_call.cc
@@ -60,11 +60,11 @@
     const bool whole =
         request != nullptr && evhttp_request_get_response_code(request) != 0;
     if (whole && !self->failed_after_connect_) {
-      self->Finish(http_end::kComplete);
+      self->Finish(http_result::kComplete);
       return;
     }
-    self->Finish(self->failed_after_connect_ ? http_end::kBroken
-                                             : http_end::kNotConnected);
+    self->Finish(self->failed_after_connect_ ? http_result::kBroken
+                                             : http_result::kNotConnected);
   };
   const auto on_header = [](evhttp_request* request, void* raw) {
     static_cast<http_call*>(raw)->OnHeaderEvent(request);
@@ -140,16 +140,16 @@
   evhttp_cancel_request(std::exchange(request_, nullptr));
   ended_ = true;
   client_.GiveBack(to_, connection_, false);
-  handler_.OnEnd(http_end::kNotConnected);
+  handler_.OnEnd(http_result::kNotConnected);
 }
 
-void http_call::Finish(http_end end) {
+void http_call::Finish(http_result end) {
   if (ended_) {
     return;
   }
   ended_ = true;
   connect_timer_.Cancel();
-  const bool keep = end == http_end::kComplete && !fresh_ && !close_announced_;
+  const bool keep = end == http_result::kComplete && !fresh_ && !close_announced_;
   client_.GiveBack(to_, connection_, keep);
   handler_.OnEnd(end);
 }
--- a/lib/Once/shard_ledger.cc
+++ b/lib/Once/shard_ledger.cc
@@ -112,10 +112,10 @@
 }
 
 void shard_ledger::Reply(const grantee& asker,
-                         start_verdict verdict,
+                         start_result verdict,
                          action_list& out,
                          const recorded_response& answer) const {
-  const bool refused = verdict == start_verdict::kRefused;
+  const bool refused = verdict == start_result::kRefused;
   out.push_back(send_peer{
       .to = asker.reply_to,
       .message =
@@ -135,13 +135,13 @@
                       .incarnation = request.incarnation,
                       .request = request.request};
   if (found.request_digest != request.request_digest) {
-    Reply(asker, start_verdict::kMismatch, out);
+    Reply(asker, start_result::kMismatch, out);
     return;
   }
   switch (found.state) {
     case entry_state::kPending:
       if (!found.asker.IsSame(request)) {
-        Reply(asker, start_verdict::kStarted, out);
+        Reply(asker, start_result::kStarted, out);
       }
       return;
     case entry_state::kUngranted:
@@ -154,16 +154,16 @@
       // The same request asks again when the grant's message was lost. An
       // asker uses one grant per request, so granting again is idempotent.
       Reply(asker,
-            found.asker.IsSame(request) ? start_verdict::kGranted
-                                        : start_verdict::kStarted,
+            found.asker.IsSame(request) ? start_result::kGranted
+                                        : start_result::kStarted,
             out);
       return;
     case entry_state::kAnswered:
-      Reply(asker, start_verdict::kAnswered, out, found.answer);
+      Reply(asker, start_result::kAnswered, out, found.answer);
       return;
     case entry_state::kRecovered:
     case entry_state::kEndUnknown:
-      Reply(asker, start_verdict::kStarted, out);
+      Reply(asker, start_result::kStarted, out);
       return;
   }
 }
@@ -177,11 +177,11 @@
                       .incarnation = request.incarnation,
                       .request = request.request};
   if (state_ != ownership::kOwned && state_ != ownership::kUncertain) {
-    Reply(asker, start_verdict::kNotOwner, out);
+    Reply(asker, start_result::kNotOwner, out);
     return;
   }
   if (IsExpired(unix_now, request.key_issued)) {
-    Reply(asker, start_verdict::kExpired, out);
+    Reply(asker, start_result::kExpired, out);
     return;
   }
   const auto found = entries_.find(request.key);
@@ -191,7 +191,7 @@
   // at once instead of holding the caller.
   if (is_new && (state_ == ownership::kUncertain ||
                  entries_.size() >= options_.max_entries)) {
-    Reply(asker, start_verdict::kRefused, out);
+    Reply(asker, start_result::kRefused, out);
     return;
   }
   if (found != entries_.end()) {
@@ -357,7 +357,7 @@
       continue;
     }
     found->second.state = entry_state::kGranted;
-    Reply(found->second.asker, start_verdict::kGranted, out);
+    Reply(found->second.asker, start_result::kGranted, out);
   }
   committing_.clear();
 }
@@ -366,7 +366,7 @@
   for (auto& [key, item] : entries_) {
     if (item.state == entry_state::kPending) {
       item.state = entry_state::kUngranted;
-      Reply(item.asker, start_verdict::kRefused, out);
+      Reply(item.asker, start_result::kRefused, out);
     }
   }
   waiting_.clear();
--- a/lib/Wire/peer_codec.cc
+++ b/lib/Wire/peer_codec.cc
@@ -275,7 +275,7 @@
 
 start_reply DecodeStartReply(const wire::StartReply& value) {
   return {.request = value.request(),
-          .verdict = EnumFromWire(value.verdict(), start_verdict::kNotOwner),
+          .verdict = EnumFromWire(value.verdict(), start_result::kNotOwner),
           .epoch = value.epoch(),
           .retry_after_seconds = value.retry_after_seconds(),
           .answer = FromWire(value.answer())};
--- a/tools/cuminctl/daemon_commands.cc
+++ b/tools/cuminctl/daemon_commands.cc
@@ -32,7 +32,7 @@
         {.name = "Authorization", .value = "Bearer " + credential});
   }
   const blocking_response response = FetchBlocking(call);
-  if (response.end != http_end::kComplete) {
+  if (response.end != http_result::kComplete) {
     throw std::runtime_error(address + ": does not answer");
   }
   if (response.head.status != status_code::kOk) {
--- a/unittests/Daemon/request_relay_test.cc
+++ b/unittests/Daemon/request_relay_test.cc
@@ -86,7 +86,7 @@
     }
   }
   void OnData(std::string_view data) override { body_ += data; }
-  void OnEnd(http_end end) override {
+  void OnEnd(http_result end) override {
     end_ = end;
     event_base_loopbreak(base_);
   }
@@ -103,7 +103,7 @@
   std::vector<core_event> events_;
   outcome result_ = outcome::kUnknown;
   std::string body_;
-  http_end end_ = http_end::kBroken;
+  http_result end_ = http_result::kBroken;
   bool caller_is_slow_ = false;
   bool upstream_ends_well_ = true;
 };
@@ -111,7 +111,7 @@
 TEST_F(request_relay_test, StreamIsRelayedWhole) {
   Call();
   event_base_dispatch(base_);
-  EXPECT_EQ(end_, http_end::kComplete);
+  EXPECT_EQ(end_, http_result::kComplete);
   EXPECT_EQ(result_, outcome::kAnswered);
   EXPECT_TRUE(body_.ends_with("data: [DONE]\n\n"));
   EXPECT_GT(body_.size(), kPieces * 10'000);
--- a/unittests/Edge/request_flow_test.cc
+++ b/unittests/Edge/request_flow_test.cc
@@ -71,11 +71,11 @@
                            uint32_t /*status*/) override {
     ++failed;
   }
-  void OnFlowBroken(const endpoint& /*address*/) override {}
+  void OnConnectionLost(const endpoint& /*address*/) override {}
   bool CanPlaceElsewhere(const request_flow& /*flow*/) override {
     return can_go_elsewhere;
   }
-  void OnFlowEnd(request_flow& /*flow*/, const flow_end& end) override {
+  void OnFlowEnd(request_flow& /*flow*/, const flow_result& end) override {
     ended = true;
     last = end;
   }
@@ -83,7 +83,7 @@
   int failed = 0;
   std::vector<limit_notice> limits;
   bool ended = false;
-  flow_end last;
+  flow_result last;
 };
 
 class request_flow_test : public testing::Test {
--- a/unittests/Http1/upstream_pool_test.cc
+++ b/unittests/Http1/upstream_pool_test.cc
@@ -17,10 +17,10 @@
  public:
   void OnResponseHead(const message_head& value) override { head = value; }
   void OnResponseBody(std::string_view data) override { body += data; }
-  void OnCallEnd(call_end value) override { end = value; }
+  void OnCallEnd(upstream_call_result value) override { end = value; }
   std::optional<message_head> head;
   std::string body;
-  std::optional<call_end> end;
+  std::optional<upstream_call_result> end;
 };
 
 class upstream_pool_test : public testing::Test {
@@ -51,7 +51,7 @@
       return upstream_->received.ends_with("xy");
     }));
   }
-  std::optional<call_end> AwaitEnd() {
+  std::optional<upstream_call_result> AwaitEnd() {
     RunUntil(base_, [&] { return handler_.end.has_value(); });
     return handler_.end;
   }
@@ -72,13 +72,13 @@
   Begin();
   Accept();
   upstream_->Send(kAnswer);
-  EXPECT_EQ(AwaitEnd(), call_end::kComplete);
+  EXPECT_EQ(AwaitEnd(), upstream_call_result::kComplete);
   EXPECT_EQ(handler_.body, "ok");
   Begin();
   EXPECT_TRUE(call_->IsOnKeptConnection());
   AwaitRequest();
   upstream_->Send(kAnswer);
-  EXPECT_EQ(AwaitEnd(), call_end::kComplete);
+  EXPECT_EQ(AwaitEnd(), upstream_call_result::kComplete);
   EXPECT_EQ(pool_.opened_count(), 1U);
 }
 
@@ -123,7 +123,7 @@
   Begin();
   Accept();
   upstream_->Send(std::string(kAnswer) + kAnswer);
-  EXPECT_EQ(AwaitEnd(), call_end::kComplete);
+  EXPECT_EQ(AwaitEnd(), upstream_call_result::kComplete);
   EXPECT_EQ(handler_.body, "ok");
   Begin();
   EXPECT_FALSE(call_->IsOnKeptConnection());
@@ -152,12 +152,12 @@
   upstream_->Send("HTTP/1.1 200 OK\r\n\r\nabc");
   RunUntil(base_, [&] { return handler_.body == "abc"; });
   upstream_->Reset();
-  EXPECT_EQ(AwaitEnd(), call_end::kBroken);
+  EXPECT_EQ(AwaitEnd(), upstream_call_result::kBroken);
   Begin();
   Accept();
   upstream_->Send("HTTP/1.1 200 OK\r\n\r\nabc");
   upstream_->Close();
-  EXPECT_EQ(AwaitEnd(), call_end::kComplete);
+  EXPECT_EQ(AwaitEnd(), upstream_call_result::kComplete);
 }
 
 TEST_F(upstream_pool_test, ToldApartHowACallEnds) {
@@ -165,14 +165,14 @@
   Accept();
   upstream_->Send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc");
   upstream_->Close();
-  EXPECT_EQ(AwaitEnd(), call_end::kBroken);
+  EXPECT_EQ(AwaitEnd(), upstream_call_result::kBroken);
   Begin();
   Accept();
   upstream_->Send("no answer at all\r\n\r\n");
-  EXPECT_EQ(AwaitEnd(), call_end::kMalformed);
+  EXPECT_EQ(AwaitEnd(), upstream_call_result::kMalformed);
   listener_.Close();
   Begin();
-  EXPECT_EQ(AwaitEnd(), call_end::kNotConnected);
+  EXPECT_EQ(AwaitEnd(), upstream_call_result::kNotConnected);
 }
 
 TEST_F(upstream_pool_test, AnAnnouncedCloseIsHeeded) {
@@ -180,7 +180,7 @@
   Accept();
   upstream_->Send(
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok");
-  EXPECT_EQ(AwaitEnd(), call_end::kComplete);
+  EXPECT_EQ(AwaitEnd(), upstream_call_result::kComplete);
   Begin();
   EXPECT_FALSE(call_->IsOnKeptConnection());
 }
--- a/unittests/Net/http_test.cc
+++ b/unittests/Net/http_test.cc
@@ -34,14 +34,14 @@
       on_data();
     }
   }
-  void OnEnd(http_end value) override {
+  void OnEnd(http_result value) override {
     end = value;
     ended = true;
     event_base_loopbreak(base_);
   }
   http_response_head head;
   std::string body;
-  http_end end = http_end::kNotConnected;
+  http_result end = http_result::kNotConnected;
   bool ended = false;
   std::function<void()> on_data;
 
@@ -97,7 +97,7 @@
   opts.body = "body";
   opts.headers = {{.name = "X-Test", .value = "yes"}};
   const recording_handler result = Call(opts);
-  EXPECT_EQ(result.end, http_end::kComplete);
+  EXPECT_EQ(result.end, http_result::kComplete);
   EXPECT_EQ(result.head.status, 201U);
   EXPECT_EQ(result.head.Find("x-answer"), "fine");
   EXPECT_EQ(result.body, "got body");
@@ -108,7 +108,7 @@
     exchange->Reply(200, "text/plain", "x");
   };
   for (int i = 0; i < 20; ++i) {
-    EXPECT_EQ(Call(To("/")).end, http_end::kComplete);
+    EXPECT_EQ(Call(To("/")).end, http_result::kComplete);
   }
 }
 
@@ -118,15 +118,15 @@
 TEST_F(http_test, RefusedConnectionIsNotConnected) {
   http_call_options opts = To("/");
   server_.reset();
-  EXPECT_EQ(Call(opts).end, http_end::kNotConnected);
+  EXPECT_EQ(Call(opts).end, http_result::kNotConnected);
 }
 
 TEST_F(http_test, ConnectionThatBreaksAfterTheRequestIsBroken) {
   handler_.serve = [](const auto& exchange) { exchange->Abort(); };
-  EXPECT_EQ(Call(To("/")).end, http_end::kBroken);
+  EXPECT_EQ(Call(To("/")).end, http_result::kBroken);
   http_call_options fresh = To("/");
   fresh.fresh_connection = true;
-  EXPECT_EQ(Call(fresh).end, http_end::kBroken);
+  EXPECT_EQ(Call(fresh).end, http_result::kBroken);
 }
 
 TEST_F(http_test, StreamThatBreaksHalfwayIsBroken) {
@@ -138,7 +138,7 @@
   const std::unique_ptr<http_call> call = client_->Start(To("/"), result);
   result.on_data = [this] { CallLater(base_, [this] { server_.reset(); }); };
   event_base_dispatch(base_);
-  EXPECT_EQ(result.end, http_end::kBroken);
+  EXPECT_EQ(result.end, http_result::kBroken);
   EXPECT_EQ(result.body, "half");
 }
 
@@ -146,7 +146,7 @@
   handler_.serve = [](const auto&) {};
   http_call_options opts = To("/");
   opts.idle_timeout = std::chrono::milliseconds(50);
-  EXPECT_EQ(Call(opts).end, http_end::kBroken);
+  EXPECT_EQ(Call(opts).end, http_result::kBroken);
 }
 
 // Symptom: an answer that takes long breaks off without a word.
@@ -177,7 +177,7 @@
     exchange->EndStream();
   };
   const recording_handler result = Call(To("/"));
-  EXPECT_EQ(result.end, http_end::kComplete);
+  EXPECT_EQ(result.end, http_result::kComplete);
   EXPECT_TRUE(result.body.ends_with("piece 999\n"));
 }
 
--- a/unittests/Once/shard_ledger_test.cc
+++ b/unittests/Once/shard_ledger_test.cc
@@ -33,10 +33,10 @@
     });
   }
 
-  std::optional<start_verdict> TakeVerdict() {
+  std::optional<start_result> TakeVerdict() {
     for (size_t i = 0; i < out_.size(); ++i) {
       if (auto* sent = std::get_if<send_peer>(&out_[i])) {
-        const start_verdict verdict =
+        const start_result verdict =
             std::get<start_reply>(sent->message).verdict;
         out_.erase(out_.begin() + static_cast<std::ptrdiff_t>(i));
         return verdict;
@@ -93,7 +93,7 @@
   const platform_call commit = TakeCall();
   EXPECT_EQ(DecodeShardRecord(commit.value).entries.size(), 1U);
   Answer(commit, platform_status::kOk, 2);
-  EXPECT_EQ(TakeVerdict(), start_verdict::kGranted);
+  EXPECT_EQ(TakeVerdict(), start_result::kGranted);
 }
 
 TEST_F(shard_ledger_test, StartsThatComeDuringAWriteShareTheNext) {
@@ -125,7 +125,7 @@
   Start(1, 1);
   const platform_call commit = TakeCall();
   Answer(commit, platform_status::kNoAnswer);
-  EXPECT_EQ(TakeVerdict(), start_verdict::kRefused);
+  EXPECT_EQ(TakeVerdict(), start_result::kRefused);
   Advance(600);
   // The read-back sees the old record; the lost write comes through after it.
   const shard_record old{
@@ -139,7 +139,7 @@
   const platform_call again = TakeCall();
   EXPECT_EQ(again.expected, 2U);
   Answer(again, platform_status::kOk, 3);
-  EXPECT_EQ(TakeVerdict(), start_verdict::kGranted);
+  EXPECT_EQ(TakeVerdict(), start_result::kGranted);
 }
 
 TEST_F(shard_ledger_test, RecordOfAnotherOwnerDeposes) {
@@ -150,7 +150,7 @@
   const shard_record other{
       .epoch = 2, .owner_host = "h3", .owner_incarnation = 1};
   Answer(TakeCall(), platform_status::kOk, 5, EncodeShardRecord(other));
-  EXPECT_EQ(TakeVerdict(), start_verdict::kRefused);
+  EXPECT_EQ(TakeVerdict(), start_result::kRefused);
   EXPECT_EQ(ledger_.state(), shard_ledger::ownership::kNone);
 }
 
@@ -170,7 +170,7 @@
   old_start.key_issued = kUnixNow - 500;
   ledger_.OnStart(now_, kUnixNow, old_start, out_);
   Answer(TakeCall(), platform_status::kOk, 2);
-  EXPECT_EQ(TakeVerdict(), start_verdict::kGranted);
+  EXPECT_EQ(TakeVerdict(), start_result::kGranted);
   now_ += std::chrono::seconds(400);
   const uint64_t later = kUnixNow + 400;
   start_request next = MakeStart(2, 2);
@@ -194,7 +194,7 @@
       now_, kUnixNow,
       {.tag = claim.tag, .status = platform_status::kOk, .revision = 4}, out_);
   successor.OnStart(now_, kUnixNow, old_start, out_);
-  EXPECT_EQ(TakeVerdict(), start_verdict::kExpired);
+  EXPECT_EQ(TakeVerdict(), start_result::kExpired);
 }
 
 TEST_F(shard_ledger_test, LongAnswerIsNotKept) {
@@ -206,7 +206,7 @@
                     .result = outcome::kAnswered,
                     .answer = {200, "t", std::string(20'000, 'x')}});
   Start(1, 9);
-  EXPECT_EQ(TakeVerdict(), start_verdict::kStarted);
+  EXPECT_EQ(TakeVerdict(), start_result::kStarted);
 }
 
 TEST_F(shard_ledger_test, HandBackLeavesTheStartsToTheSuccessor) {
--- a/unittests/Wire/peer_codec_test.cc
+++ b/unittests/Wire/peer_codec_test.cc
@@ -70,11 +70,11 @@
   EXPECT_EQ(request.shard, 4U);
   const start_reply reply = PassThrough(
       start_reply{.request = 3,
-                  .verdict = start_verdict::kAnswered,
+                  .verdict = start_result::kAnswered,
                   .epoch = 5,
                   .retry_after_seconds = 6,
                   .answer = {200, "text/plain", std::string("a\0b", 3)}});
-  EXPECT_EQ(reply.verdict, start_verdict::kAnswered);
+  EXPECT_EQ(reply.verdict, start_result::kAnswered);
   EXPECT_EQ(reply.answer.body, std::string("a\0b", 3));
 }
 
--- a/utils/ask/ask.cc
+++ b/utils/ask/ask.cc
@@ -39,13 +39,13 @@
     reader.Feed(data);
     text += data;
   }
-  void OnEnd(http_end end_seen) override {
+  void OnEnd(http_result end_seen) override {
     end = end_seen;
     event_base_loopbreak(base_);
   }
 
   uint32_t status = 0;
-  http_end end = http_end::kNotConnected;
+  http_result end = http_result::kNotConnected;
   std::optional<clock::time_point> first_byte;
   answer_reader reader;
   std::string text;
--- a/utils/fetch/fetch.cc
+++ b/utils/fetch/fetch.cc
@@ -12,7 +12,7 @@
 
 #include "cuminswitch/Net/blocking_http.h"
 
-using cuminswitch::http_end;
+using cuminswitch::http_result;
 
 static cuminswitch::http_headers ReadHeaders() {
   cuminswitch::http_headers headers;
@@ -59,7 +59,7 @@
   const auto response = cuminswitch::FetchBlocking(call);
   const uint32_t status = response.head.status;
   std::cout << response.body;
-  if (response.end != http_end::kComplete || status < 200 || status > 299) {
+  if (response.end != http_result::kComplete || status < 200 || status > 299) {
     std::cerr << "fetch: status " << status << "\n";
     return 1;
   }
--- a/utils/load_tool/caller.cc
+++ b/utils/load_tool/caller.cc
@@ -82,12 +82,12 @@
   }
 }
 
-void caller::OnEnd(http_end end) {
+void caller::OnEnd(http_result end) {
   result_.whole = std::chrono::duration<double>(clock::now() - sent_).count();
   const bool streamed =
       result_.status == status_code::kOk && !result_.request->once;
   if (streamed) {
-    result_.truncated = end != http_end::kComplete || !reader_.SawEnd();
+    result_.truncated = end != http_result::kComplete || !reader_.SawEnd();
     const bool told = body_.find("event: error") != std::string::npos;
     if (!result_.truncated) {
       CheckTokens();
@@ -98,7 +98,7 @@
       result_.outcome = "unknown";
     }
     result_.usage = reader_.usage();
-  } else if (end != http_end::kComplete) {
+  } else if (end != http_result::kComplete) {
     result_.outcome = "unknown";
   }
   const callback on_done = std::move(on_done_);
--- a/utils/load_tool/caller.h
+++ b/utils/load_tool/caller.h
@@ -48,7 +48,7 @@
  private:
   void OnHeaders(const http_response_head& head) override;
   void OnData(std::string_view data) override;
-  void OnEnd(http_end end) override;
+  void OnEnd(http_result end) override;
   void CheckTokens();
 
   callback on_done_;
