--- a/include/cuminswitch/Core/request_router.h
+++ b/include/cuminswitch/Core/request_router.h
@@ -123,14 +123,14 @@
   workspace_limiter& limiter() { return limiter_; }
   /// Returns the requests that wait for leave to be sent to an upstream with a
   /// limit, since the last call. Each gets an answer by `OnPermit`.
-  std::vector<permit_question> TakePermitQuestions() {
+  std::vector<permit_request> TakePermitRequests() {
     return std::exchange(permit_questions_, {});
   }
   /// Returns the permits that were granted and not used since the last call.
   std::vector<permit_return> TakeUnusedPermits() {
     return std::exchange(unused_permits_, {});
   }
-  void OnPermit(time_point now, const permit_answer& answer, action_list& out);
+  void OnPermit(time_point now, const permit_reply& answer, action_list& out);
   /// Learns what an upstream's answer says of its limit.
   upstream_limits::change OnLimit(time_point now,
                                   uint64_t upstream,
@@ -282,7 +282,7 @@
                       const placement& chosen,
                       action_list& out);
   /// The permit is not used; it is given back where there still is a limit.
-  void ReturnPermit(const permit_answer& answer);
+  void ReturnPermit(const permit_reply& answer);
   /// What is known of an upstream's limit changed.
   void NoteLimitChange(uint64_t upstream, upstream_limits::change what);
   void Dispatch(time_point now,
@@ -351,7 +351,7 @@
   upstream_limits limits_;
   request_quarantine quarantine_;
   time_point next_quarantine_expiry_{};
-  std::vector<permit_question> permit_questions_;
+  std::vector<permit_request> permit_questions_;
   std::vector<permit_return> unused_permits_;
   std::map<std::string, retry_budget, std::less<>> retries_;
   /// The largest fleet seen; the part of a daemon that is away may be spent.
--- a/include/cuminswitch/Edge/arrival_translator.h
+++ b/include/cuminswitch/Edge/arrival_translator.h
@@ -24,7 +24,7 @@
 request_arrived DescribeArrival(const request_flow::options& flow,
                                 const workspace_config* workspace);
 /// Describes the request of \p flow, whose workspace has \p quota.
-quota_gate::question DescribeQuotaQuestion(time_point now,
+quota_admission::admission_query DescribeQuotaQuestion(time_point now,
                                            const request_flow& flow,
                                            const quota_config& quota,
                                            request_arrived arrival);
--- a/include/cuminswitch/Edge/edge_metrics.h
+++ b/include/cuminswitch/Edge/edge_metrics.h
@@ -32,7 +32,7 @@
   struct sources {
     const core_status& status;
     const std::map<std::string, quota_counts>& quotas;
-    const limit_gate::counts& limits;
+    const upstream_limit_admission::counts& limits;
     uint64_t log_lines_dropped = 0;
     size_t held_bytes = 0;
     uint64_t refused_for_memory = 0;
--- a/include/cuminswitch/Edge/edge_task.h
+++ b/include/cuminswitch/Edge/edge_task.h
@@ -136,7 +136,7 @@
   void TellQuotasOfFleet(time_point now);
   /// Sends what \p policy has to say to other daemons.
   void SendQuotaMessages(quota_policy& policy);
-  void SettleQuota(time_point now, quota_gate::decided_request decided);
+  void SettleQuota(time_point now, quota_admission::admission_result decided);
   void HandToRouter(time_point now, const core_event& event);
   void Perform(time_point now, const action_list& actions);
   void Perform(time_point now, const dispatch_attempt& action);
@@ -152,7 +152,7 @@
   /// carries out what is decided.
   void SettleLimits(time_point now);
   void TakeLimitAsk(time_point now, quota_query ask);
-  void SettleLimit(time_point now, const limit_gate::decided_question& decided);
+  void SettleLimit(time_point now, const upstream_limit_admission::permit_result& decided);
   /// Lets the peers know what upstreams told this daemon.
   void TellLimits(time_point now);
   /// Lets the peers and the store know which requests crash upstreams.
@@ -196,8 +196,8 @@
   uint64_t told_refused_ = 0;
   std::unordered_map<request_id, std::unique_ptr<request_flow>> flows_;
   request_id next_request_ = 0;
-  quota_gate quotas_;
-  limit_gate limits_;
+  quota_admission quotas_;
+  upstream_limit_admission limits_;
   bool told_limits_ = false;
   bool told_quarantine_ = false;
   edge_metrics metrics_;
--- a/include/cuminswitch/Edge/graceful_stop.h
+++ b/include/cuminswitch/Edge/graceful_stop.h
@@ -21,7 +21,7 @@
   bool HasBegun() const { return has_begun_; }
   /// Whether a request that arrives now can be seen to its end, where its
   /// caller waits for \p patience at most.
-  bool MayTake(time_point now, duration patience) const;
+  bool CanAccept(time_point now, duration patience) const;
   /// Whether no caller can still hold an address answer that names this daemon.
   bool IsForgotten(time_point now) const;
   /// Whether the process may end, with \p requests under way and
--- a/include/cuminswitch/Edge/limit_gate.h
+++ b/include/cuminswitch/Edge/limit_gate.h
@@ -19,33 +19,33 @@
 /// Owners keep turns for daemons, not for requests: one that was turned away
 /// and has requests that can go nowhere else is told when it may come again,
 /// with whatever request is then first.
-class limit_gate {
+class upstream_limit_admission {
  public:
   /// An answer, and what decided it.
-  struct decided_question {
-    permit_question question;
+  struct permit_result {
+    permit_request request;
     quota_decision decision;
 
-    permit_answer Answer() const;
+    permit_reply Answer() const;
   };
   /// Since the daemon's start.
   struct counts {
     uint64_t granted = 0;
     /// Sent elsewhere, or told to wait.
-    uint64_t turned_away = 0;
+    uint64_t denied = 0;
     uint64_t unused = 0;
   };
 
   /// \p turn names this daemon at the owners.
-  limit_gate(std::unique_ptr<quota_policy> policy, uint64_t turn)
+  upstream_limit_admission(std::unique_ptr<quota_policy> policy, uint64_t turn)
       : policy_(std::move(policy)), turn_(turn) {}
 
   quota_policy& policy() { return *policy_; }
-  void Ask(time_point now, const permit_question& question);
+  void Ask(time_point now, const permit_request& question);
   /// A granted request was not sent.
   void Return(time_point now, const permit_return& unused);
   /// Returns what was decided since the last call.
-  std::vector<decided_question> TakeDecided();
+  std::vector<permit_result> TakeDecided();
   const counts& totals() const { return totals_; }
 
  private:
@@ -57,7 +57,7 @@
   /// only these must not be taken for one to such a question.
   static constexpr uint64_t kFirstTicket = uint64_t{1} << 62;
   uint64_t next_ticket_ = kFirstTicket;
-  std::unordered_map<uint64_t, permit_question> waiting_;
+  std::unordered_map<uint64_t, permit_request> waiting_;
   counts totals_;
 };
 
--- a/include/cuminswitch/Edge/quota_gate.h
+++ b/include/cuminswitch/Edge/quota_gate.h
@@ -30,16 +30,16 @@
 
 /// Weighs each request once, asks the policy about it, charges each of its runs
 /// at an upstream, and gives back what is known not to have run.
-class quota_gate {
+class quota_admission {
  public:
   /// A request about which it was decided.
-  struct decided_request {
+  struct admission_result {
     request_arrived arrival;
     quota_request item;
     quota_decision decision;
   };
   /// A request before its decision.
-  struct question {
+  struct admission_query {
     request_arrived arrival;
     const quota_config& quota;
     /// Of the configuration that holds the quota.
@@ -51,13 +51,13 @@
     duration time_left{0};
   };
 
-  explicit quota_gate(std::unique_ptr<quota_policy> policy)
+  explicit quota_admission(std::unique_ptr<quota_policy> policy)
       : policy_(std::move(policy)) {}
 
   quota_policy& policy() { return *policy_; }
-  void Ask(time_point now, const question& asked);
+  void Ask(time_point now, const admission_query& asked);
   /// Returns the requests that were decided about since the last call.
-  std::vector<decided_request> TakeDecided();
+  std::vector<admission_result> TakeDecided();
   /// The request has \p runs runs that may count; further ones are charged.
   void OnRuns(time_point now, request_id id, uint32_t runs);
   /// The request ended after \p runs runs; what was charged beyond is given
--- a/include/cuminswitch/Edge/request_log.h
+++ b/include/cuminswitch/Edge/request_log.h
@@ -42,7 +42,7 @@
 /// was decided from.
 log_line DescribePermit(const request_flow& flow,
                         std::string_view upstream,
-                        const limit_gate::decided_question& decided);
+                        const upstream_limit_admission::permit_result& decided);
 
 }  // namespace cuminswitch
 
--- a/include/cuminswitch/Protocol/send_permit.h
+++ b/include/cuminswitch/Protocol/send_permit.h
@@ -13,7 +13,7 @@
 
 /// May the request be sent to the upstream, within what the upstream takes from
 /// all daemons together?
-struct permit_question {
+struct permit_request {
   request_id request = 0;
   /// Hash of the upstream's name.
   uint64_t upstream = 0;
@@ -24,8 +24,8 @@
   bool waits = false;
 };
 
-/// The answer to a `permit_question`.
-struct permit_answer {
+/// The answer to a `permit_request`.
+struct permit_reply {
   request_id request = 0;
   uint64_t upstream = 0;
   bool is_granted = false;
--- a/lib/Core/request_permits.cc
+++ b/lib/Core/request_permits.cc
@@ -47,7 +47,7 @@
 }
 
 void request_router::OnPermit(time_point now,
-                              const permit_answer& answer,
+                              const permit_reply& answer,
                               action_list& out) {
   const std::optional<replica_index> index =
       replicas_.FindByHash(answer.upstream);
@@ -86,7 +86,7 @@
   Admit(now, item, out);
 }
 
-void request_router::ReturnPermit(const permit_answer& answer) {
+void request_router::ReturnPermit(const permit_reply& answer) {
   const std::optional<double> rate = limits_.Find(answer.upstream);
   if (answer.is_granted && rate) {
     unused_permits_.push_back({.upstream = answer.upstream, .rate = *rate});
--- a/lib/Edge/arrival_translator.cc
+++ b/lib/Edge/arrival_translator.cc
@@ -79,7 +79,7 @@
   return arrival;
 }
 
-quota_gate::question DescribeQuotaQuestion(time_point now,
+quota_admission::admission_query DescribeQuotaQuestion(time_point now,
                                            const request_flow& flow,
                                            const quota_config& quota,
                                            request_arrived arrival) {
--- a/lib/Edge/edge_arrivals.cc
+++ b/lib/Edge/edge_arrivals.cc
@@ -49,7 +49,7 @@
   const workspace_config* workspace = nullptr;
   uint32_t status = CheckRequest(request, route, workspace);
   if (status == 0 &&
-      !stop_.MayTake(ReadBootClock(), PatienceOf(request, *route))) {
+      !stop_.CanAccept(ReadBootClock(), PatienceOf(request, *route))) {
     status = status_code::kUnavailable;
   }
   if (status == 0) {
--- a/lib/Edge/edge_limits.cc
+++ b/lib/Edge/edge_limits.cc
@@ -84,23 +84,23 @@
   for (const permit_return& unused : router_.TakeUnusedPermits()) {
     limits_.Return(now, unused);
   }
-  for (const permit_question& question : router_.TakePermitQuestions()) {
+  for (const permit_request& question : router_.TakePermitRequests()) {
     limits_.Ask(now, question);
   }
   SendQuotaMessages(limits_.policy());
-  for (const limit_gate::decided_question& decided : limits_.TakeDecided()) {
+  for (const upstream_limit_admission::permit_result& decided : limits_.TakeDecided()) {
     SettleLimit(now, decided);
   }
 }
 
 void edge_task::SettleLimit(time_point now,
-                            const limit_gate::decided_question& decided) {
-  const request_flow* flow = FindFlow(decided.question.request);
+                            const upstream_limit_admission::permit_result& decided) {
+  const request_flow* flow = FindFlow(decided.request.request);
   if (flow != nullptr) {
     with_.log.Write(
         log_class::kRequest,
         DescribePermit(*flow,
-                       router_.FindUpstreamName(decided.question.upstream),
+                       router_.FindUpstreamName(decided.request.upstream),
                        decided));
   }
   action_list actions;
--- a/lib/Edge/edge_quotas.cc
+++ b/lib/Edge/edge_quotas.cc
@@ -67,13 +67,13 @@
 
 void edge_task::SettleQuotas(time_point now) {
   SendQuotaMessages(quotas_.policy());
-  for (quota_gate::decided_request& decided : quotas_.TakeDecided()) {
+  for (quota_admission::admission_result& decided : quotas_.TakeDecided()) {
     SettleQuota(now, std::move(decided));
   }
 }
 
 void edge_task::SettleQuota(time_point now,
-                            quota_gate::decided_request decided) {
+                            quota_admission::admission_result decided) {
   const request_id id = decided.arrival.request;
   request_flow* flow = FindFlow(id);
   if (flow == nullptr || flow->has_ended()) {
--- a/lib/Edge/graceful_stop.cc
+++ b/lib/Edge/graceful_stop.cc
@@ -17,7 +17,7 @@
   begun_at_ = now;
 }
 
-bool graceful_stop::MayTake(time_point now, duration patience) const {
+bool graceful_stop::CanAccept(time_point now, duration patience) const {
   if (!has_begun_) {
     return true;
   }
--- a/lib/Edge/quota_gate.cc
+++ b/lib/Edge/quota_gate.cc
@@ -20,7 +20,7 @@
   return tokens == 0 ? quota.uncounted_tokens : static_cast<double>(tokens);
 }
 
-void quota_gate::Ask(time_point now, const question& asked) {
+void quota_admission::Ask(time_point now, const admission_query& asked) {
   const request_arrived& arrival = asked.arrival;
   const quota_request item{.ticket = arrival.request,
                            .subject = Hash64(arrival.workspace),
@@ -34,14 +34,14 @@
   policy_->Admit(now, item);
 }
 
-quota_counts& quota_gate::CountsOf(const std::string& workspace) {
+quota_counts& quota_admission::CountsOf(const std::string& workspace) {
   const bool has_place =
       counts_.contains(workspace) || counts_.size() < kMaxCounted;
   return counts_[has_place ? workspace : kOtherWorkspaces];
 }
 
-std::vector<quota_gate::decided_request> quota_gate::TakeDecided() {
-  std::vector<decided_request> list;
+std::vector<quota_admission::admission_result> quota_admission::TakeDecided() {
+  std::vector<admission_result> list;
   for (const quota_decision& decision : policy_->TakeDecisions()) {
     const auto found = waiting_.find(decision.ticket);
     if (found == waiting_.end()) {
@@ -68,7 +68,7 @@
   return list;
 }
 
-void quota_gate::OnRuns(time_point now, request_id id, uint32_t runs) {
+void quota_admission::OnRuns(time_point now, request_id id, uint32_t runs) {
   const auto found = charged_.find(id);
   if (found == charged_.end()) {
     return;
@@ -80,7 +80,7 @@
   }
 }
 
-void quota_gate::OnEnd(time_point now, request_id id, uint32_t runs) {
+void quota_admission::OnEnd(time_point now, request_id id, uint32_t runs) {
   const auto found = charged_.find(id);
   if (found == charged_.end()) {
     return;
--- a/lib/Edge/request_log.cc
+++ b/lib/Edge/request_log.cc
@@ -110,13 +110,13 @@
 
 log_line DescribePermit(const request_flow& flow,
                         std::string_view upstream,
-                        const limit_gate::decided_question& decided) {
+                        const upstream_limit_admission::permit_result& decided) {
   const quota_decision& decision = decided.decision;
   log_line line(decision.is_admitted ? "limit_granted" : "limit_turned_away");
   line.Add("id", flow.request().attempt)
       .Add("upstream", upstream)
-      .Add("requests_per_s", decided.question.rate)
-      .Add("limit_age_ms", decided.question.limit_age)
+      .Add("requests_per_s", decided.request.rate)
+      .Add("limit_age_ms", decided.request.limit_age)
       .Add("left", decision.level)
       .Add("left_age_ms", decision.age)
       .Add("share_percent", static_cast<int64_t>(decision.share * kPercent))
--- a/unittests/Core/upstream_limit_test.cc
+++ b/unittests/Core/upstream_limit_test.cc
@@ -60,7 +60,7 @@
                        .time_limit = kPatience},
                       out_);
   }
-  void Answer(const permit_question& asked,
+  void Answer(const permit_request& asked,
               bool is_granted,
               duration wait = {}) {
     router_.OnPermit(now_,
@@ -70,8 +70,8 @@
                       .retry_after = wait},
                      out_);
   }
-  std::optional<permit_question> TakeQuestion() {
-    const auto list = router_.TakePermitQuestions();
+  std::optional<permit_request> TakeQuestion() {
+    const auto list = router_.TakePermitRequests();
     return list.empty() ? std::nullopt : std::optional(list.front());
   }
   template <class Action>
--- a/unittests/Core/upstream_notice_test.cc
+++ b/unittests/Core/upstream_notice_test.cc
@@ -176,7 +176,7 @@
                     {.kind = notice_kind::kNamed, .rate = 5});
   }
   Arrive();
-  auto asked = router_.TakePermitQuestions();
+  auto asked = router_.TakePermitRequests();
   ASSERT_EQ(asked.size(), 1U);
   // The upstream that is asked about wants rest meanwhile.
   const uint64_t upstream = asked[0].upstream;
--- a/unittests/Edge/graceful_stop_test.cc
+++ b/unittests/Edge/graceful_stop_test.cc
@@ -18,7 +18,7 @@
 
 TEST(graceful_stop_test, ARunningDaemonTakesEverything) {
   const graceful_stop stop(std::chrono::seconds(8));
-  EXPECT_TRUE(stop.MayTake(kStart, std::chrono::hours(1)));
+  EXPECT_TRUE(stop.CanAccept(kStart, std::chrono::hours(1)));
   EXPECT_FALSE(stop.IsOver(kStart, 0, 0));
 }
 
@@ -28,10 +28,10 @@
 // Cause: whatever came was taken, however late.
 TEST(graceful_stop_test, ALateRequestThatMayOutliveTheProcessIsNotTaken) {
   const graceful_stop stop = Stopping();
-  EXPECT_TRUE(stop.MayTake(kStart + milliseconds(2600), milliseconds(12'000)));
-  EXPECT_FALSE(stop.MayTake(kStart + milliseconds(2800), milliseconds(12'000)));
-  EXPECT_TRUE(stop.MayTake(kStart + milliseconds(2800), milliseconds(600)));
-  EXPECT_FALSE(stop.MayTake(kStart + milliseconds(7200), milliseconds(600)));
+  EXPECT_TRUE(stop.CanAccept(kStart + milliseconds(2600), milliseconds(12'000)));
+  EXPECT_FALSE(stop.CanAccept(kStart + milliseconds(2800), milliseconds(12'000)));
+  EXPECT_TRUE(stop.CanAccept(kStart + milliseconds(2800), milliseconds(600)));
+  EXPECT_FALSE(stop.CanAccept(kStart + milliseconds(7200), milliseconds(600)));
 }
 
 // Symptom: callers get a reset where a new address answer was not asked for
