--- a/include/cuminswitch/Admission/load_shedder.h
+++ b/include/cuminswitch/Admission/load_shedder.h
@@ -11,7 +11,7 @@
 namespace cuminswitch {
 
 /// What one request expects, at the upstream that suits it best.
-struct shed_question {
+struct shedding_query {
   /// Since it arrived.
   duration waited{0};
   /// From now to its first byte.
@@ -33,11 +33,11 @@
 /// together and then none.
 ///
 /// \returns how likely the request is to be refused, from 0 to 1.
-double RefusalChance(const shed_question& question);
+double RefusalChance(const shedding_query& question);
 
 /// When a refused request may come back: the queue it met has shrunk to what a
 /// request like it can bear by then, if the load does not grow.
-duration RefusedRetryAfter(const shed_question& question);
+duration RefusedRetryAfter(const shedding_query& question);
 
 }  // namespace cuminswitch
 
--- a/include/cuminswitch/Routing/cache_planner.h
+++ b/include/cuminswitch/Routing/cache_planner.h
@@ -71,7 +71,7 @@
 };
 
 /// One placed request, for planning.
-struct cache_question {
+struct cache_plan_query {
   time_point now{};
   /// The model as the router's configuration has it.
   const model_spec& model;
@@ -85,7 +85,7 @@
 
 /// Plans the copying of the request's shared prefix, so that fewer engines read
 /// what others have read.
-cache_plan PlanCache(const cache_question& question);
+cache_plan PlanCache(const cache_plan_query& question);
 
 }  // namespace cuminswitch
 
--- a/lib/Admission/load_shedder.cc
+++ b/lib/Admission/load_shedder.cc
@@ -19,13 +19,13 @@
 static constexpr duration kLeastRetryAfter = std::chrono::milliseconds(300);
 
 /// The wait from which some requests are refused.
-static duration BorneWait(const shed_question& question) {
+static duration BorneWait(const shedding_query& question) {
   const bool is_urgent = question.priority == priority_class::kInteractive;
   const double targets = is_urgent ? kUrgentTargetsBorne : kTargetsBorne;
   return FromSeconds(ToSeconds(question.target) * targets);
 }
 
-double RefusalChance(const shed_question& question) {
+double RefusalChance(const shedding_query& question) {
   if (question.target == duration(0)) {
     return 0;
   }
@@ -41,7 +41,7 @@
   return wait <= some ? 0 : (wait - some) / (all - some);
 }
 
-duration RefusedRetryAfter(const shed_question& question) {
+duration RefusedRetryAfter(const shedding_query& question) {
   return std::max(kLeastRetryAfter, question.expected - question.target);
 }
 
--- a/lib/Core/request_refusals.cc
+++ b/lib/Core/request_refusals.cc
@@ -66,7 +66,7 @@
       .reading = FromSeconds(computing),
       .excess = replicas_.UsualExcess(now, item.info.target, PriorityOf(item)),
       .target = item.info.target_latency};
-  const shed_question question{.waited = wait.waited,
+  const shedding_query question{.waited = wait.waited,
                                .expected = wait.Ahead(),
                                .target = item.info.target_latency,
                                .caller_idle_timeout = item.info.caller_idle_timeout,
--- a/lib/Routing/cache_planner.cc
+++ b/lib/Routing/cache_planner.cc
@@ -37,7 +37,7 @@
 /// Plans one request.
 class planner {
  public:
-  planner(const cache_question& question, const prefix_level& shared)
+  planner(const cache_plan_query& question, const prefix_level& shared)
       : question_(question),
         model_(question.model),
         shared_(shared),
@@ -224,7 +224,7 @@
     return question_.replicas[best->index].spec.address;
   }
 
-  const cache_question& question_;
+  const cache_plan_query& question_;
   const model_spec& model_;
   const prefix_level& shared_;
   std::string version_;
@@ -245,7 +245,7 @@
   return tokens > kLeastSecondsToCopy * prefill_rate;
 }
 
-cache_plan PlanCache(const cache_question& question) {
+cache_plan PlanCache(const cache_plan_query& question) {
   const prefix_level* shared = FindSharedLevel(question.levels);
   if (shared == nullptr) {
     return {};
--- a/unittests/Admission/load_shedder_test.cc
+++ b/unittests/Admission/load_shedder_test.cc
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-shed_question Question(int waited_ms,
+shedding_query Question(int waited_ms,
                        int expected_ms,
                        priority_class priority = priority_class::kStandard) {
   return {.waited = milliseconds(waited_ms),
