--- a/include/cuminswitch/Core/core_status.h
+++ b/include/cuminswitch/Core/core_status.h
@@ -67,7 +67,7 @@
   size_t running = 0;
   size_t known_prefixes = 0;
   /// Of the engines, the part that is kept for short prompts.
-  double short_part = 0;
+  double short_share = 0;
   /// Requests under which an upstream crashed, and those of them that are kept
   /// away from upstreams.
   size_t suspected_requests = 0;
--- a/include/cuminswitch/Core/request_router.h
+++ b/include/cuminswitch/Core/request_router.h
@@ -65,7 +65,7 @@
     /// one until its time is over.
     bool refuse_without_upstream = false;
     /// Keep placements for `TakePlacedPrefixes`.
-    bool tells_placements = false;
+    bool reports_placements = false;
     request_quarantine::options quarantine;
   };
 
@@ -102,7 +102,7 @@
     return std::exchange(placed_prefixes_, {});
   }
   /// Of the engines, the part that is kept for short prompts.
-  double short_part() const { return short_part_; }
+  double short_share() const { return short_share_; }
   /// This daemon's traffic of late, for its peers.
   prompt_mix OwnMix(time_point now) const;
   std::vector<upstream_backlog> ListBacklogs() {
@@ -341,10 +341,10 @@
   replica_table replicas_;
   prefix_index prefixes_;
   copy_budget copy_budget_;
-  prompt_kinds kinds_;
+  prompt_length_classifier kinds_;
   /// The part of the engines that was kept for short prompts when the last one
   /// was placed.
-  double short_part_ = 0;
+  double short_share_ = 0;
   std::vector<placed_prefix> placed_prefixes_;
   wait_queue queue_;
   workspace_limiter limiter_;
--- a/include/cuminswitch/Protocol/core_event.h
+++ b/include/cuminswitch/Protocol/core_event.h
@@ -107,14 +107,14 @@
   /// Of all prompts.
   double prompt_tokens = 0;
   /// Tokens that engines were to read for short and for long prompts.
-  double short_read = 0;
-  double long_read = 0;
+  double short_prefill = 0;
+  double long_prefill = 0;
   /// Seconds for which short prompts' answers held a slot of an engine.
   double short_held = 0;
   /// Over how many seconds all of this was counted.
   double seconds = 0;
   /// Whether engines are kept for short prompts, as this daemon sees it.
-  bool keeps_engines = false;
+  bool reserves_engines = false;
 };
 
 /// What a daemon tells the others of its placements.
--- a/include/cuminswitch/Routing/placement_query.h
+++ b/include/cuminswitch/Routing/placement_query.h
@@ -41,7 +41,7 @@
   /// the prefix is rarely used.
   double reuse_weight = 1;
   /// Of the replicas, the part that is kept for short prompts; 0 for none.
-  double short_part = 0;
+  double short_share = 0;
   /// Whether the request is one of the long ones.
   bool is_long = false;
 };
--- a/include/cuminswitch/Routing/prompt_kinds.h
+++ b/include/cuminswitch/Routing/prompt_kinds.h
@@ -29,7 +29,7 @@
 /// traffic, so they draw the same boundary without a message of their own; and
 /// whether engines are kept at all follows the most of them, so that one that
 /// has just started does as the others do.
-class prompt_kinds {
+class prompt_length_classifier {
  public:
   /// Counts a request that arrives.
   void CountPrompt(time_point now, double prompt_tokens);
@@ -46,7 +46,7 @@
   /// The part of the engines that is kept for short prompts; 0 for none, where
   /// there is one kind only, too little is known, or slots are what binds: then
   /// the engines serve more if all are shared.
-  double ShortPart(time_point now, const engine_slots& engines) const;
+  double ShortShare(time_point now, const engine_slots& engines) const;
 
  private:
   struct told_mix {
--- a/lib/Core/request_attempts.cc
+++ b/lib/Core/request_attempts.cc
@@ -79,7 +79,7 @@
                                  .incarnation = target.incarnation,
                                  .used_at = now});
   }
-  if (shared != nullptr && options_.tells_placements) {
+  if (shared != nullptr && options_.reports_placements) {
     const weights_tag saved =
         cache.sink ? replicas_.WeightsAt(chosen.index, item.info.target)
                    : kNoWeights;
--- a/lib/Core/request_router.cc
+++ b/lib/Core/request_router.cc
@@ -268,7 +268,7 @@
   }
   // Requests without a prompt go to services, which are of no kind.
   if (item.info.prompt_tokens > 0) {
-    short_part_ = kinds_.ShortPart(now, replicas_.CountSlots(item.info.target));
+    short_share_ = kinds_.ShortShare(now, replicas_.CountSlots(item.info.target));
   }
   const placement chosen =
       policy_->Choose({.now = now,
@@ -283,7 +283,7 @@
                        .failure_domain = options_.self.failure_domain,
                        .copy_rate = CopyRate(item),
                        .reuse_weight = ReuseWeight(item),
-                       .short_part = short_part_,
+                       .short_share = short_share_,
                        .is_long = kinds_.IsLong(now, item.info.prompt_tokens)});
   // Those ahead of it go to the same replicas.
   const double ahead = at == turn::kNow ? 0 : EstimateWaitSeconds(now, item);
@@ -306,7 +306,7 @@
 
 prompt_mix request_router::OwnMix(time_point now) const {
   prompt_mix mix = kinds_.Own(now);
-  mix.keeps_engines = short_part_ > 0;
+  mix.reserves_engines = short_share_ > 0;
   return mix;
 }
 
@@ -395,7 +395,7 @@
   status.waiting = queue_.size();
   status.running = attempts_.size();
   status.known_prefixes = prefixes_.size();
-  status.short_part = short_part_;
+  status.short_share = short_share_;
   status.suspected_requests = quarantine_.size();
   status.quarantined_requests = quarantine_.CountQuarantined();
   status.budget_daemons = largest_fleet_;
--- a/lib/Edge/edge_metrics.cc
+++ b/lib/Edge/edge_metrics.cc
@@ -158,7 +158,7 @@
   }
   page.Begin("cuminswitch_engines_kept_share", "gauge",
              "Part of the engines that is kept for short prompts.");
-  page.Add(status.short_part);
+  page.Add(status.short_share);
   page.Begin("cuminswitch_upstream_connections_total", "counter",
              "Connections opened to upstreams.");
   page.Add(static_cast<double>(from.upstream_connections));
--- a/lib/Edge/edge_task.cc
+++ b/lib/Edge/edge_task.cc
@@ -295,19 +295,19 @@
 }
 
 void edge_task::LogKeptEngines() {
-  const bool keeps_engines = router_.short_part() > 0;
-  if (keeps_engines == kept_engines_) {
+  const bool reserves_engines = router_.short_share() > 0;
+  if (reserves_engines == kept_engines_) {
     return;
   }
-  kept_engines_ = keeps_engines;
+  kept_engines_ = reserves_engines;
   const prompt_mix own = router_.OwnMix(ReadBootClock());
   with_.log.Write(
       log_class::kBelief,
-      log_line(keeps_engines ? "engines_kept" : "engines_shared")
+      log_line(reserves_engines ? "engines_kept" : "engines_shared")
           .Add("short_percent",
-               static_cast<int64_t>(router_.short_part() * kPercent))
-          .Add("own_short_tokens", static_cast<int64_t>(own.short_read))
-          .Add("own_long_tokens", static_cast<int64_t>(own.long_read))
+               static_cast<int64_t>(router_.short_share() * kPercent))
+          .Add("own_short_tokens", static_cast<int64_t>(own.short_prefill))
+          .Add("own_long_tokens", static_cast<int64_t>(own.long_prefill))
           .Add("own_short_held_ms", FromSeconds(own.short_held))
           .Add("counted_ms", FromSeconds(own.seconds)));
 }
--- a/lib/Edge/router_settings.cc
+++ b/lib/Edge/router_settings.cc
@@ -44,7 +44,7 @@
           (opts.old_weights_time - kOldWeightsMargin - kOldWeightsAfterStart),
       .old_weights_limit = opts.old_weights_time - kLastStartMargin};
   options.refuse_without_upstream = true;
-  options.tells_placements = true;
+  options.reports_placements = true;
   options.quarantine.keeps_events = true;
   return options;
 }
--- a/lib/Fleet/peer_frame.cc
+++ b/lib/Fleet/peer_frame.cc
@@ -161,11 +161,11 @@
     }
     frame.mix = {.requests = mix->requests(),
                  .prompt_tokens = mix->prompt_tokens(),
-                 .short_read = mix->short_read(),
-                 .long_read = mix->long_read(),
+                 .short_prefill = mix->short_read(),
+                 .long_prefill = mix->long_read(),
                  .short_held = mix->short_held(),
                  .seconds = mix->seconds(),
-                 .keeps_engines = mix->keeps_engines()};
+                 .reserves_engines = mix->keeps_engines()};
   }
   if (wire.limits() != nullptr) {
     for (const fleet_wire::limit* item : *wire.limits()) {
--- a/lib/Fleet/peer_frame_writer.cc
+++ b/lib/Fleet/peer_frame_writer.cc
@@ -78,10 +78,10 @@
     const fleet_wire::prompt_mix mix(
         static_cast<float>(frame.mix.requests),
         static_cast<float>(frame.mix.prompt_tokens),
-        static_cast<float>(frame.mix.short_read),
-        static_cast<float>(frame.mix.long_read),
+        static_cast<float>(frame.mix.short_prefill),
+        static_cast<float>(frame.mix.long_prefill),
         static_cast<float>(frame.mix.short_held),
-        static_cast<float>(frame.mix.seconds), frame.mix.keeps_engines);
+        static_cast<float>(frame.mix.seconds), frame.mix.reserves_engines);
     const daemon_record& sender = frame.sender;
     const freshness_record evidence = frame.freshness.value_or(freshness_record());
     return fleet_wire::Createbeat(
--- a/lib/Routing/prefix_cost_policy.cc
+++ b/lib/Routing/prefix_cost_policy.cc
@@ -56,10 +56,10 @@
 
 bool prefix_cost_policy::IsOfKind(const placement_query& query,
                                   replica_index index) {
-  if (query.short_part == 0 || query.prompt_tokens == 0) {
+  if (query.short_share == 0 || query.prompt_tokens == 0) {
     return true;
   }
-  const bool is_for_short = query.replicas.RankOf(index) < query.short_part;
+  const bool is_for_short = query.replicas.RankOf(index) < query.short_share;
   return is_for_short != query.is_long;
 }
 
--- a/lib/Routing/prompt_kinds.cc
+++ b/lib/Routing/prompt_kinds.cc
@@ -35,7 +35,7 @@
   return std::exp(-std::max(0.0, ToSeconds(age)) / kMixSeconds);
 }
 
-void prompt_kinds::Decay(time_point now) {
+void prompt_length_classifier::Decay(time_point now) {
   own_ = Own(now);
   if (first_at_ == time_point()) {
     first_at_ = now;
@@ -43,36 +43,36 @@
   own_at_ = now;
 }
 
-prompt_mix prompt_kinds::Own(time_point now) const {
+prompt_mix prompt_length_classifier::Own(time_point now) const {
   if (first_at_ == time_point()) {
     return {};
   }
   const double share = RemainingShare(now - own_at_);
   return {.requests = own_.requests * share,
           .prompt_tokens = own_.prompt_tokens * share,
-          .short_read = own_.short_read * share,
-          .long_read = own_.long_read * share,
+          .short_prefill = own_.short_prefill * share,
+          .long_prefill = own_.long_prefill * share,
           .short_held = own_.short_held * share,
           .seconds = kMixSeconds * (1 - RemainingShare(now - first_at_))};
 }
 
-void prompt_kinds::CountPrompt(time_point now, double prompt_tokens) {
+void prompt_length_classifier::CountPrompt(time_point now, double prompt_tokens) {
   Decay(now);
   own_.requests += 1;
   own_.prompt_tokens += prompt_tokens;
 }
 
-void prompt_kinds::CountRead(time_point now, bool is_long, double tokens) {
+void prompt_length_classifier::CountRead(time_point now, bool is_long, double tokens) {
   Decay(now);
-  (is_long ? own_.long_read : own_.short_read) += tokens;
+  (is_long ? own_.long_prefill : own_.short_prefill) += tokens;
 }
 
-void prompt_kinds::CountShortHeld(time_point now, duration held) {
+void prompt_length_classifier::CountShortHeld(time_point now, duration held) {
   Decay(now);
   own_.short_held += ToSeconds(held);
 }
 
-void prompt_kinds::OnPeer(time_point now,
+void prompt_length_classifier::OnPeer(time_point now,
                           const std::string& peer,
                           const prompt_mix& told) {
   peers_[peer] = {.mix = told, .at = now};
@@ -83,41 +83,41 @@
   peers_keeping_ = 0;
   for (const auto& [name, item] : peers_) {
     Add(item.mix, peers_sum_);
-    peers_keeping_ += item.mix.keeps_engines ? 1 : 0;
+    peers_keeping_ += item.mix.reserves_engines ? 1 : 0;
   }
 }
 
-void prompt_kinds::Add(const prompt_mix& mix, prompt_mix& sum) {
+void prompt_length_classifier::Add(const prompt_mix& mix, prompt_mix& sum) {
   sum.requests += mix.requests;
   sum.prompt_tokens += mix.prompt_tokens;
-  sum.short_read += mix.short_read;
-  sum.long_read += mix.long_read;
+  sum.short_prefill += mix.short_prefill;
+  sum.long_prefill += mix.long_prefill;
   sum.short_held += mix.short_held;
   sum.seconds += mix.seconds;
 }
 
-prompt_mix prompt_kinds::Sum(time_point now) const {
+prompt_mix prompt_length_classifier::Sum(time_point now) const {
   prompt_mix sum = peers_sum_;
   Add(Own(now), sum);
   return sum;
 }
 
-bool prompt_kinds::IsLong(time_point now, double prompt_tokens) const {
+bool prompt_length_classifier::IsLong(time_point now, double prompt_tokens) const {
   const prompt_mix sum = Sum(now);
   return prompt_tokens * sum.requests > sum.prompt_tokens;
 }
 
-double prompt_kinds::ShortPart(time_point now,
+double prompt_length_classifier::ShortShare(time_point now,
                                const engine_slots& engines) const {
   if (engines.count == 0 || engines.slots < kLeastSlots * engines.count) {
     return 0;
   }
   const prompt_mix sum = Sum(now);
-  const double read = sum.short_read + sum.long_read;
+  const double read = sum.short_prefill + sum.long_prefill;
   if (sum.requests < kLeastRequests || read <= 0 || sum.seconds <= 0) {
     return 0;
   }
-  const double part = sum.short_read / read;
+  const double part = sum.short_prefill / read;
   if (part < kLeastPart || part > 1 - kLeastPart ||
       std::min(part, 1 - part) * engines.count < kLeastEngines) {
     return 0;
--- a/unittests/Core/request_router_test.cc
+++ b/unittests/Core/request_router_test.cc
@@ -20,7 +20,7 @@
       : members_({.self = {.host = "h", .incarnation = 1}}),
         router_({.self = members_.self(),
                  .replicas = {.old_weights_time = std::chrono::seconds(6)},
-                 .tells_placements = true},
+                 .reports_placements = true},
                 members_) {
     auto config = std::make_shared<configuration>();
     config->models = {{.name = "m", .version = "1"}};
--- a/unittests/StreamPauses/stream_pauses_test.cc
+++ b/unittests/StreamPauses/stream_pauses_test.cc
@@ -69,7 +69,7 @@
   replica_table table;
   prefix_index prefixes{{.capacity = 16'384}};
   prefix_cost_policy policy;
-  prompt_kinds kinds;
+  prompt_length_classifier kinds;
 };
 
 struct late_share {
@@ -192,9 +192,9 @@
          .replicas = daemon.table,
          .prefixes = daemon.prefixes,
          .reuse_weight = 3,
-         .short_part =
+         .short_share =
              options_.has_kinds
-                 ? daemon.kinds.ShortPart(Now(), daemon.table.CountSlots("m"))
+                 ? daemon.kinds.ShortShare(Now(), daemon.table.CountSlots("m"))
                  : 0,
          .is_long = is_long});
     item.engine = chosen.index;
