--- a/include/cuminswitch/Edge/edge_task.h
+++ b/include/cuminswitch/Edge/edge_task.h
@@ -179,7 +179,7 @@
   loop_timer stop_timer_;
   std::shared_ptr<const fleet_snapshot> knowledge_;
   std::map<endpoint, upstream_ref> upstreams_by_address_;
-  weights_census held_weights_;
+  weights_version_counter held_weights_;
   size_t unreadable_upstreams_ = 0;
   bool is_stale_ = false;
   std::vector<daemon_record> peers_;
--- a/include/cuminswitch/Edge/plan_translator.h
+++ b/include/cuminswitch/Edge/plan_translator.h
@@ -14,7 +14,7 @@
 
 namespace cuminswitch {
 
-class weights_census;
+class weights_version_counter;
 
 /// The router's name for a model at a service, or for the service itself where
 /// \p model is empty. Two services may serve one model, each with its own
@@ -27,7 +27,7 @@
 /// naming is known there and not yet here.
 std::shared_ptr<const configuration> TranslateRoutingConfig(
     const fleet_snapshot& knowledge,
-    const weights_census& held);
+    const weights_version_counter& held);
 
 /// The upstream as the router knows it; its report is what the router would
 /// have learnt by asking.
--- a/include/cuminswitch/Edge/weights_census.h
+++ b/include/cuminswitch/Edge/weights_census.h
@@ -15,7 +15,7 @@
 namespace cuminswitch {
 
 /// Counts the upstreams with each version, one change at a time.
-class weights_census {
+class weights_version_counter {
  public:
   void Add(std::span<const weights_version> held);
   void Remove(std::span<const weights_version> held);
--- a/include/cuminswitch/Fleet/leader_election.h
+++ b/include/cuminswitch/Fleet/leader_election.h
@@ -21,7 +21,7 @@
     std::string self_name;
     std::string key;
     /// No two leaders may send within this time of each other.
-    duration turn_gap = std::chrono::seconds(3);
+    duration handover_gap = std::chrono::seconds(3);
     std::chrono::milliseconds lease_time{1500};
     /// Delays this daemon's claim, so that not all claim at once.
     duration claim_delay{0};
@@ -33,7 +33,7 @@
   /// \p leader is who holds the key, as far as is known; empty for nobody.
   void OnTick(time_point now, const std::string& leader);
   /// Whether an order may be sent now.
-  bool MayOrder(time_point now) const;
+  bool MaySendCommand(time_point now) const;
   bool IsLeading(time_point now) const {
     return fence_ != 0 && now < valid_until_;
   }
--- a/include/cuminswitch/Fleet/weights_rollout.h
+++ b/include/cuminswitch/Fleet/weights_rollout.h
@@ -28,10 +28,10 @@
 };
 
 /// How an order to an engine ended.
-enum class order_end : uint8_t {
+enum class command_result : uint8_t {
   kAccepted,
   /// It has these weights already.
-  kHolds,
+  kAlreadyApplied,
   /// Another order is in progress, or the engine is not as was expected.
   kConflict,
   /// The engine will not do it.
@@ -40,18 +40,18 @@
   kUnknown,
 };
 
-std::string_view ToString(order_end value);
+std::string_view ToString(command_result value);
 
 /// A question to an engine, or an order where `order` is set.
 struct rollout_step {
   std::string upstream;
   endpoint address;
-  struct weights_order {
+  struct weights_command {
     weights_version weights;
     /// Carry it out only if the engine has accepted so many orders.
     uint64_t accepted_orders = 0;
   };
-  std::optional<weights_order> order;
+  std::optional<weights_command> command;
 };
 
 /// Decides, for the leader, which engine changes its weights when. Each engine
@@ -75,7 +75,7 @@
       time_point now,
       const std::string& upstream,
       const std::optional<engine_report>& report);
-  void OnOrderEnd(time_point now, const std::string& upstream, order_end end);
+  void OnCommandResult(time_point now, const std::string& upstream, command_result end);
   /// Upstreams that should get no requests for the moment.
   std::vector<std::string> ListChanging() const;
   /// The lead is lost; nothing is under way any more.
--- a/lib/Edge/plan_translator.cc
+++ b/lib/Edge/plan_translator.cc
@@ -32,7 +32,7 @@
 
 /// The newest version of \p model, as text; empty where none is known.
 static std::string NewestVersion(const fleet_snapshot& knowledge,
-                                 const weights_census& held,
+                                 const weights_version_counter& held,
                                  std::string_view model) {
   uint64_t newest = held.Newest(model);
   for (const weights_version& item : knowledge.wanted_weights) {
@@ -79,7 +79,7 @@
 
 std::shared_ptr<const configuration> TranslateRoutingConfig(
     const fleet_snapshot& knowledge,
-    const weights_census& held) {
+    const weights_version_counter& held) {
   auto config = std::make_shared<configuration>();
   std::vector<std::string> targets;
   for (const service_config& service : knowledge.plan->services) {
--- a/lib/Edge/weights_census.cc
+++ b/lib/Edge/weights_census.cc
@@ -4,14 +4,14 @@
 
 namespace cuminswitch {
 
-void weights_census::Add(std::span<const weights_version> held) {
+void weights_version_counter::Add(std::span<const weights_version> held) {
   for (const weights_version& item : held) {
     newest_changes_ += item.version > Newest(item.model) ? 1 : 0;
     ++counts_[item.model][item.version];
   }
 }
 
-void weights_census::Remove(std::span<const weights_version> held) {
+void weights_version_counter::Remove(std::span<const weights_version> held) {
   for (const weights_version& item : held) {
     std::map<uint64_t, size_t>& versions = counts_[item.model];
     const auto found = versions.find(item.version);
@@ -23,7 +23,7 @@
   }
 }
 
-uint64_t weights_census::Newest(std::string_view model) const {
+uint64_t weights_version_counter::Newest(std::string_view model) const {
   const auto found = counts_.find(model);
   return found == counts_.end() || found->second.empty()
              ? 0
--- a/lib/Fleet/fleet_task.cc
+++ b/lib/Fleet/fleet_task.cc
@@ -47,7 +47,7 @@
                  }}),
       election_({.self_name = options_.self.name,
                  .key = options_.leader_key,
-                 .turn_gap = options_.leader_gap,
+                 .handover_gap = options_.leader_gap,
                  .claim_delay = std::chrono::milliseconds(
                      Hash64(options_.self.name, options_.self.incarnation) %
                      kClaimSpreadMs)},
@@ -345,7 +345,7 @@
                     log_line(is_leading ? "lead_taken" : "lead_lost")
                         .Add("fence", election_.fence()));
   }
-  if (!election_.MayOrder(now)) {
+  if (!election_.MaySendCommand(now)) {
     rollout_.Clear();
     PublishChanging();
     return;
@@ -366,8 +366,8 @@
 }
 
 void fleet_task::Perform(const rollout_step& step) {
-  if (!step.order) {
-    with_.engines.Ask(step,
+  if (!step.command) {
+    with_.engines.QueryState(step,
                       [this, step](const std::optional<engine_report>& report) {
                         OnEngineReport(step, report);
                       });
@@ -375,22 +375,22 @@
   }
   // Between the decision and here the host may have been suspended; an order
   // that leaves after the lease has ended meets those of the next leader.
-  if (!election_.MayOrder(ReadBootClock())) {
-    rollout_.OnOrderEnd(ReadBootClock(), step.upstream, order_end::kConflict);
+  if (!election_.MaySendCommand(ReadBootClock())) {
+    rollout_.OnCommandResult(ReadBootClock(), step.upstream, command_result::kConflict);
     return;
   }
   with_.log.Write(log_class::kBelief,
                   log_line("order_sent")
                       .Add("upstream", step.upstream)
-                      .Add("model", step.order->weights.model)
-                      .Add("version", step.order->weights.version)
-                      .Add("accepted_orders", step.order->accepted_orders)
+                      .Add("model", step.command->weights.model)
+                      .Add("version", step.command->weights.version)
+                      .Add("accepted_orders", step.command->accepted_orders)
                       .Add("fence", election_.fence()));
-  with_.engines.Order(step, election_.fence(), [this, step](order_end end) {
+  with_.engines.SendCommand(step, election_.fence(), [this, step](command_result end) {
     with_.log.Write(log_class::kBelief, log_line("order_ended")
                                             .Add("upstream", step.upstream)
                                             .Add("end", ToString(end)));
-    rollout_.OnOrderEnd(ReadBootClock(), step.upstream, end);
+    rollout_.OnCommandResult(ReadBootClock(), step.upstream, end);
   });
 }
 
--- a/lib/Fleet/leader_election.cc
+++ b/lib/Fleet/leader_election.cc
@@ -18,7 +18,7 @@
   *alive_ = false;
 }
 
-bool leader_election::MayOrder(time_point now) const {
+bool leader_election::MaySendCommand(time_point now) const {
   return IsLeading(now) && now >= may_order_from_;
 }
 
@@ -79,7 +79,7 @@
     next_call_ = asked_at + kRenewInterval;
     // The predecessor sent its last order before its lease ended, which was
     // before this key could be written.
-    may_order_from_ = now_ + options_.turn_gap;
+    may_order_from_ = now_ + options_.handover_gap;
   };
   store_.Write({.key = options_.key,
                 .value = options_.self_name,
--- a/lib/Fleet/weights_rollout.cc
+++ b/lib/Fleet/weights_rollout.cc
@@ -14,17 +14,17 @@
 static constexpr duration kUnknownPause = std::chrono::milliseconds(500);
 static constexpr duration kRejectedPause = std::chrono::seconds(2);
 
-std::string_view ToString(order_end value) {
+std::string_view ToString(command_result value) {
   switch (value) {
-    case order_end::kAccepted:
+    case command_result::kAccepted:
       return "accepted";
-    case order_end::kHolds:
+    case command_result::kAlreadyApplied:
       return "holds";
-    case order_end::kConflict:
+    case command_result::kConflict:
       return "conflict";
-    case order_end::kRejected:
+    case command_result::kRejected:
       return "rejected";
-    case order_end::kUnknown:
+    case command_result::kUnknown:
       return "unknown";
   }
   return "unknown";
@@ -118,7 +118,7 @@
     item.since = now;
     steps.push_back({.upstream = entry.id,
                      .address = entry.address,
-                     .order = std::nullopt});
+                     .command = std::nullopt});
   }
   return steps;
 }
@@ -160,36 +160,36 @@
   return rollout_step{
       .upstream = upstream,
       .address = item.address,
-      .order = rollout_step::weights_order{
+      .command = rollout_step::weights_command{
           .weights = item.wanted, .accepted_orders = report->accepted_orders}};
 }
 
 /// How long an engine is left alone after an order that it did not accept.
-static duration PauseAfter(order_end end) {
+static duration PauseAfter(command_result end) {
   switch (end) {
-    case order_end::kAccepted:
-    case order_end::kHolds:
+    case command_result::kAccepted:
+    case command_result::kAlreadyApplied:
       return kChangeTime;
-    case order_end::kConflict:
+    case command_result::kConflict:
       return kBusyPause;
-    case order_end::kUnknown:
+    case command_result::kUnknown:
       return kUnknownPause;
-    case order_end::kRejected:
+    case command_result::kRejected:
       return kRejectedPause;
   }
   return kRejectedPause;
 }
 
-void weights_rollout::OnOrderEnd(time_point now,
+void weights_rollout::OnCommandResult(time_point now,
                                  const std::string& upstream,
-                                 order_end end) {
+                                 command_result end) {
   const auto found = engines_.find(upstream);
   if (found == engines_.end() || found->second.at != stage::kOrdered) {
     return;
   }
   engine& item = found->second;
   item.since = now;
-  if (end == order_end::kAccepted) {
+  if (end == command_result::kAccepted) {
     item.at = stage::kChanging;
     return;
   }
--- a/unittests/Edge/weights_census_test.cc
+++ b/unittests/Edge/weights_census_test.cc
@@ -12,8 +12,8 @@
   return {{.model = "m", .version = version}};
 }
 
-TEST(weights_census_test, TheNewestThatAnyHoldsCounts) {
-  weights_census census;
+TEST(weights_version_counter_test, TheNewestThatAnyHoldsCounts) {
+  weights_version_counter census;
   EXPECT_EQ(census.Newest("m"), 0U);
   census.Add(Version(2));
   census.Add(Version(1));
@@ -23,8 +23,8 @@
 
 // A version that another writer made up stays the wanted one after its entry
 // has gone.
-TEST(weights_census_test, WhatNobodyHoldsAnyMoreIsForgotten) {
-  weights_census census;
+TEST(weights_version_counter_test, WhatNobodyHoldsAnyMoreIsForgotten) {
+  weights_version_counter census;
   census.Add(Version(1));
   census.Add(Version(900));
   census.Remove(Version(900));
@@ -33,8 +33,8 @@
   EXPECT_EQ(census.Newest("m"), 1U);
 }
 
-TEST(weights_census_test, TellsWhenTheNewestIsAnotherOne) {
-  weights_census census;
+TEST(weights_version_counter_test, TellsWhenTheNewestIsAnotherOne) {
+  weights_version_counter census;
   census.Add(Version(1));
   const uint64_t before = census.newest_changes();
   census.Add(Version(1));
--- a/unittests/Fleet/leader_election_test.cc
+++ b/unittests/Fleet/leader_election_test.cc
@@ -79,7 +79,7 @@
  protected:
   leader_election MakeElection(const std::string& name) {
     return leader_election(
-        {.self_name = name, .key = "leader", .turn_gap = milliseconds(3000)},
+        {.self_name = name, .key = "leader", .handover_gap = milliseconds(3000)},
         store_);
   }
   /// Lets \p span pass in small steps, with all answers.
@@ -101,9 +101,9 @@
   leader_election election = MakeElection("a");
   Pass(election, milliseconds(200));
   EXPECT_TRUE(election.IsLeading(now_));
-  EXPECT_FALSE(election.MayOrder(now_));
+  EXPECT_FALSE(election.MaySendCommand(now_));
   Pass(election, milliseconds(3100));
-  EXPECT_TRUE(election.MayOrder(now_));
+  EXPECT_TRUE(election.MaySendCommand(now_));
 }
 
 TEST_F(leader_election_test, WhileAnotherLeadsNothingIsClaimed) {
@@ -121,19 +121,19 @@
 TEST_F(leader_election_test, AfterASuspensionNothingIsSent) {
   leader_election election = MakeElection("a");
   Pass(election, milliseconds(4000));
-  ASSERT_TRUE(election.MayOrder(now_));
+  ASSERT_TRUE(election.MaySendCommand(now_));
   now_ += std::chrono::seconds(2);
-  EXPECT_FALSE(election.MayOrder(now_));
+  EXPECT_FALSE(election.MaySendCommand(now_));
   store_.Expire();
   Pass(election, milliseconds(100));
-  EXPECT_FALSE(election.MayOrder(now_)) << "a new term begins with the wait";
+  EXPECT_FALSE(election.MaySendCommand(now_)) << "a new term begins with the wait";
 }
 
 TEST_F(leader_election_test, WithoutRenewalTheLeadEndsBeforeTheLease) {
   leader_election election = MakeElection("a");
   Pass(election, milliseconds(4000));
   const time_point last_renewal_at_most = now_;
-  while (election.MayOrder(now_)) {
+  while (election.MaySendCommand(now_)) {
     election.OnTick(now_, store_.holder);
     store_.AnswerAll(true);
     now_ += milliseconds(10);
--- a/unittests/Fleet/weights_rollout_test.cc
+++ b/unittests/Fleet/weights_rollout_test.cc
@@ -99,9 +99,9 @@
 TEST_F(weights_rollout_test, AnOrderNamesTheStateThatWasReported) {
   Tick(now_);
   const auto step = rollout_.OnReport(now_, "e0", Report(1, 7));
-  ASSERT_TRUE(step && step->order);
-  EXPECT_EQ(step->order->weights.version, 2U);
-  EXPECT_EQ(step->order->accepted_orders, 7U);
+  ASSERT_TRUE(step && step->command);
+  EXPECT_EQ(step->command->weights.version, 2U);
+  EXPECT_EQ(step->command->accepted_orders, 7U);
 }
 
 TEST_F(weights_rollout_test, TheNewestNamedVersionIsOrdered) {
@@ -109,7 +109,7 @@
   wanted_[0].version = 5;
   Tick(now_);
   const auto step = rollout_.OnReport(now_, "e0", Report(1));
-  EXPECT_EQ(step->order->weights.version, 5U);
+  EXPECT_EQ(step->command->weights.version, 5U);
 }
 
 // Symptom: an engine falls back to older weights and stays there.
@@ -118,11 +118,11 @@
 TEST_F(weights_rollout_test, AnOrderWithoutAnswerIsFollowedByAQuestion) {
   Tick(now_);
   rollout_.OnReport(now_, "e0", Report(1));
-  rollout_.OnOrderEnd(now_, "e0", order_end::kUnknown);
+  rollout_.OnCommandResult(now_, "e0", command_result::kUnknown);
   now_ += milliseconds(600);
   bool asked_again = false;
   for (const rollout_step& step : Tick(now_)) {
-    asked_again = asked_again || (step.upstream == "e0" && !step.order);
+    asked_again = asked_again || (step.upstream == "e0" && !step.command);
   }
   EXPECT_TRUE(asked_again);
 }
@@ -139,7 +139,7 @@
 TEST_F(weights_rollout_test, AChangeThatDoesNotShowIsAskedAfter) {
   Tick(now_);
   rollout_.OnReport(now_, "e0", Report(1));
-  rollout_.OnOrderEnd(now_, "e0", order_end::kAccepted);
+  rollout_.OnCommandResult(now_, "e0", command_result::kAccepted);
   EXPECT_TRUE(Tick(now_ + milliseconds(400)).empty());
   EXPECT_EQ(Tick(now_ + milliseconds(1000)).size(), 1U);
 }
@@ -172,7 +172,7 @@
   Entry("e0").started = 1000;
   Tick(now_);
   rollout_.OnReport(now_, "e0", Report(1, 4));
-  rollout_.OnOrderEnd(now_, "e0", order_end::kAccepted);
+  rollout_.OnCommandResult(now_, "e0", command_result::kAccepted);
   now_ += milliseconds(100);
   EXPECT_TRUE(Tick(now_).empty());
   Entry("e0").started = 2000;
@@ -181,7 +181,7 @@
   EXPECT_EQ(steps[0].upstream, "e0");
   const auto order = rollout_.OnReport(now_, "e0", Report(1, 0));
   ASSERT_TRUE(order.has_value());
-  EXPECT_EQ(order->order->accepted_orders, 0U) << "it counts anew";
+  EXPECT_EQ(order->command->accepted_orders, 0U) << "it counts anew";
 }
 
 TEST_F(weights_rollout_test, AnEngineThatLeavesIsNotChanged) {
