--- a/include/cuminswitch/Core/decision_core.h
+++ b/include/cuminswitch/Core/decision_core.h
@@ -86,7 +86,7 @@
   options options_;
   member_table members_;
   config_sync config_;
-  shard_keeper shards_;
+  shard_manager shards_;
   upstream_prober prober_;
   request_router router_;
   time_point next_wake_{};
--- a/include/cuminswitch/Once/shard_keeper.h
+++ b/include/cuminswitch/Once/shard_keeper.h
@@ -19,7 +19,7 @@
 class member_table;
 
 /// Spreads the shards over the daemons and keeps the ledgers of its own.
-class shard_keeper {
+class shard_manager {
  public:
   struct options {
     std::string host;
@@ -33,7 +33,7 @@
     duration claim_delay = std::chrono::milliseconds(800);
   };
 
-  explicit shard_keeper(const options& opts);
+  explicit shard_manager(const options& opts);
 
   void OnTick(time_point now,
               uint64_t unix_now,
@@ -50,7 +50,7 @@
   void OnFinish(const finish_report& report);
   void OnRelease(const release_report& report);
   /// Hands every shard back; `OwnedShards` becomes empty as that succeeds.
-  void HandBackAll(uint64_t unix_now, action_list& out);
+  void ReleaseAll(uint64_t unix_now, action_list& out);
 
   std::vector<shard_number> OwnedShards() const;
   bool Owns(shard_number shard) const;
@@ -58,7 +58,7 @@
 
  private:
   struct slot {
-    shard_ledger ledger;
+    shard_journal ledger;
     /// Since when no serving member has said that it owns the shard.
     time_point vacant_since = time_point::max();
     time_point next_claim{};
--- a/include/cuminswitch/Once/shard_ledger.h
+++ b/include/cuminswitch/Once/shard_ledger.h
@@ -19,7 +19,7 @@
 /// repeats. Its safety rests on the compare-and-swap alone: an owner that was
 /// deposed, however long it was paused, fails its next write and grants
 /// nothing. Heartbeats only decide when somebody else tries to take over.
-class shard_ledger {
+class shard_journal {
  public:
   struct options {
     shard_number shard = 0;
@@ -39,12 +39,12 @@
 
   enum class ownership : uint8_t { kNone, kClaiming, kOwned, kUncertain };
 
-  explicit shard_ledger(const options& opts);
+  explicit shard_journal(const options& opts);
 
   /// Starts to take the shard over. Does nothing unless it is not owned.
   void Claim(action_list& out);
   /// Hands the shard back so that another daemon can claim it at once.
-  void HandBack(uint64_t unix_now, action_list& out);
+  void Release(uint64_t unix_now, action_list& out);
   /// Writes what waits for the journal, once the write budget allows.
   void OnTick(time_point now, uint64_t unix_now, action_list& out);
   void OnPlatformAnswer(time_point now,
--- a/lib/Core/decision_core.cc
+++ b/lib/Core/decision_core.cc
@@ -176,7 +176,7 @@
     return;
   }
   router_.CloseAdmission();
-  shards_.HandBackAll(UnixNow(now), out);
+  shards_.ReleaseAll(UnixNow(now), out);
   const bool handed_back = shards_.OwnedShards().empty();
   const bool waited = now - stop_since_ >= options_.linger + kHandBackTimeout;
   if (router_.IsIdle() && (handed_back || waited)) {
--- a/lib/Once/shard_keeper.cc
+++ b/lib/Once/shard_keeper.cc
@@ -10,12 +10,12 @@
 static constexpr duration kClaimRetryInterval = std::chrono::milliseconds(700);
 static constexpr duration kRebalanceInterval = std::chrono::seconds(2);
 
-shard_keeper::shard_keeper(const options& opts)
+shard_manager::shard_manager(const options& opts)
     : options_(opts), random_(opts.random_seed) {
   const duration interval =
       FromSeconds(opts.shard_count / opts.fleet_writes_per_second);
   for (shard_number shard = 0; shard < opts.shard_count; ++shard) {
-    slots_.push_back({.ledger = shard_ledger({.shard = shard,
+    slots_.push_back({.ledger = shard_journal({.shard = shard,
                                               .host = opts.host,
                                               .incarnation = opts.incarnation,
                                               .retention = opts.retention,
@@ -23,23 +23,23 @@
   }
 }
 
-bool shard_keeper::Owns(shard_number shard) const {
+bool shard_manager::Owns(shard_number shard) const {
   return shard < slots_.size() && slots_[shard].ledger.is_owned();
 }
 
-std::vector<shard_number> shard_keeper::OwnedShards() const {
+std::vector<shard_number> shard_manager::OwnedShards() const {
   std::vector<shard_number> owned;
   for (shard_number shard = 0; shard < options_.shard_count; ++shard) {
-    const shard_ledger::ownership state = slots_[shard].ledger.state();
-    if (state == shard_ledger::ownership::kOwned ||
-        state == shard_ledger::ownership::kUncertain) {
+    const shard_journal::ownership state = slots_[shard].ledger.state();
+    if (state == shard_journal::ownership::kOwned ||
+        state == shard_journal::ownership::kUncertain) {
       owned.push_back(shard);
     }
   }
   return owned;
 }
 
-uint64_t shard_keeper::CountWrites() const {
+uint64_t shard_manager::CountWrites() const {
   uint64_t writes = 0;
   for (const slot& item : slots_) {
     writes += item.ledger.write_count();
@@ -47,7 +47,7 @@
   return writes;
 }
 
-void shard_keeper::ConsiderClaim(time_point now,
+void shard_manager::ConsiderClaim(time_point now,
                                  const member_table& members,
                                  slot& item,
                                  shard_number shard,
@@ -75,7 +75,7 @@
   item.ledger.Claim(out);
 }
 
-void shard_keeper::Rebalance(time_point now,
+void shard_manager::Rebalance(time_point now,
                              uint64_t unix_now,
                              const member_table& members,
                              action_list& out) {
@@ -94,38 +94,38 @@
   for (const shard_number shard : owned) {
     if (!members.IsAmongFirst(CombineHash(kShardHashSeed, shard), 1,
                               member_scope::kAll)) {
-      slots_[shard].ledger.HandBack(unix_now, out);
+      slots_[shard].ledger.Release(unix_now, out);
       return;
     }
   }
 }
 
-void shard_keeper::OnTick(time_point now,
+void shard_manager::OnTick(time_point now,
                           uint64_t unix_now,
                           const member_table& members,
                           action_list& out) {
   for (shard_number shard = 0; shard < options_.shard_count; ++shard) {
     slot& item = slots_[shard];
     item.ledger.OnTick(now, unix_now, out);
-    if (!leaving_ && item.ledger.state() == shard_ledger::ownership::kNone) {
+    if (!leaving_ && item.ledger.state() == shard_journal::ownership::kNone) {
       ConsiderClaim(now, members, item, shard, out);
     }
   }
   if (leaving_) {
-    HandBackAll(unix_now, out);
+    ReleaseAll(unix_now, out);
     return;
   }
   Rebalance(now, unix_now, members, out);
 }
 
-void shard_keeper::HandBackAll(uint64_t unix_now, action_list& out) {
+void shard_manager::ReleaseAll(uint64_t unix_now, action_list& out) {
   leaving_ = true;
   for (slot& item : slots_) {
-    item.ledger.HandBack(unix_now, out);
+    item.ledger.Release(unix_now, out);
   }
 }
 
-void shard_keeper::OnPlatformAnswer(time_point now,
+void shard_manager::OnPlatformAnswer(time_point now,
                                     uint64_t unix_now,
                                     const platform_reply& answer,
                                     action_list& out) {
@@ -135,7 +135,7 @@
   }
 }
 
-void shard_keeper::OnStart(time_point now,
+void shard_manager::OnStart(time_point now,
                            uint64_t unix_now,
                            const start_request& request,
                            action_list& out) {
@@ -144,13 +144,13 @@
   }
 }
 
-void shard_keeper::OnFinish(const finish_report& report) {
+void shard_manager::OnFinish(const finish_report& report) {
   if (report.shard < slots_.size()) {
     slots_[report.shard].ledger.OnFinish(report);
   }
 }
 
-void shard_keeper::OnRelease(const release_report& report) {
+void shard_manager::OnRelease(const release_report& report) {
   if (report.shard < slots_.size()) {
     slots_[report.shard].ledger.OnRelease(report);
   }
--- a/lib/Once/shard_ledger.cc
+++ b/lib/Once/shard_ledger.cc
@@ -12,9 +12,9 @@
 static constexpr uint32_t kRefusedRetrySeconds = 2;
 static constexpr duration kReadBackInterval = std::chrono::milliseconds(500);
 
-shard_ledger::shard_ledger(const options& opts) : options_(opts) {}
+shard_journal::shard_journal(const options& opts) : options_(opts) {}
 
-void shard_ledger::Call(pending_call kind,
+void shard_journal::Call(pending_call kind,
                         platform_operation operation,
                         std::string value,
                         action_list& out) {
@@ -32,7 +32,7 @@
                               .expected = revision_});
 }
 
-void shard_ledger::Claim(action_list& out) {
+void shard_journal::Claim(action_list& out) {
   if (state_ != ownership::kNone || call_ != pending_call::kNone) {
     return;
   }
@@ -40,7 +40,7 @@
   Call(pending_call::kClaimRead, platform_operation::kRead, {}, out);
 }
 
-shard_record shard_ledger::MakeRecord() const {
+shard_record shard_journal::MakeRecord() const {
   shard_record record{.epoch = epoch_,
                       .owner_host = options_.host,
                       .owner_incarnation = options_.incarnation,
@@ -59,7 +59,7 @@
   return record;
 }
 
-void shard_ledger::AdoptRecord(const shard_record& record,
+void shard_journal::AdoptRecord(const shard_record& record,
                                revision_number revision) {
   epoch_ = record.epoch;
   revision_ = revision;
@@ -74,7 +74,7 @@
   }
 }
 
-void shard_ledger::HandBack(uint64_t unix_now, action_list& out) {
+void shard_journal::Release(uint64_t unix_now, action_list& out) {
   if (state_ != ownership::kOwned || call_ != pending_call::kNone) {
     return;
   }
@@ -87,14 +87,14 @@
        EncodeShardRecord(record), out);
 }
 
-bool shard_ledger::IsExpired(uint64_t unix_now, uint64_t issued) const {
+bool shard_journal::IsExpired(uint64_t unix_now, uint64_t issued) const {
   const auto retention = static_cast<uint64_t>(options_.retention.count());
   const auto skew = static_cast<uint64_t>(options_.clock_skew.count());
   return issued <= floor_ || issued + retention < unix_now ||
          issued > unix_now + skew;
 }
 
-void shard_ledger::Prune(uint64_t unix_now) {
+void shard_journal::Prune(uint64_t unix_now) {
   const uint64_t keep =
       static_cast<uint64_t>((options_.retention + options_.clock_skew).count());
   if (unix_now <= keep) {
@@ -111,7 +111,7 @@
   });
 }
 
-void shard_ledger::Reply(const grantee& asker,
+void shard_journal::Reply(const grantee& asker,
                          start_result verdict,
                          action_list& out,
                          const recorded_response& answer) const {
@@ -126,7 +126,7 @@
                       .answer = answer}});
 }
 
-void shard_ledger::AnswerRepeat(time_point now,
+void shard_journal::AnswerRepeat(time_point now,
                                 entry& found,
                                 const start_request& request,
                                 action_list& out) {
@@ -168,7 +168,7 @@
   }
 }
 
-void shard_ledger::OnStart(time_point now,
+void shard_journal::OnStart(time_point now,
                            uint64_t unix_now,
                            const start_request& request,
                            action_list& out) {
@@ -207,7 +207,7 @@
   Commit(now, unix_now, out);
 }
 
-void shard_ledger::Commit(time_point now, uint64_t unix_now, action_list& out) {
+void shard_journal::Commit(time_point now, uint64_t unix_now, action_list& out) {
   const bool may_write = state_ == ownership::kOwned &&
                          call_ == pending_call::kNone && now >= next_write_;
   if (!may_write || waiting_.empty()) {
@@ -221,7 +221,7 @@
        EncodeShardRecord(MakeRecord()), out);
 }
 
-void shard_ledger::OnTick(time_point now, uint64_t unix_now, action_list& out) {
+void shard_journal::OnTick(time_point now, uint64_t unix_now, action_list& out) {
   if (state_ == ownership::kUncertain && call_ == pending_call::kNone &&
       now >= next_read_back_) {
     Call(pending_call::kReadBack, platform_operation::kRead, {}, out);
@@ -230,7 +230,7 @@
   Commit(now, unix_now, out);
 }
 
-void shard_ledger::OnPlatformAnswer(time_point now,
+void shard_journal::OnPlatformAnswer(time_point now,
                                     uint64_t unix_now,
                                     const platform_reply& answer,
                                     action_list& out) {
@@ -264,7 +264,7 @@
   Commit(now, unix_now, out);
 }
 
-void shard_ledger::OnClaimRead(const platform_reply& answer,
+void shard_journal::OnClaimRead(const platform_reply& answer,
                                action_list& out) {
   if (answer.status == platform_status::kNoAnswer) {
     state_ = ownership::kNone;
@@ -280,7 +280,7 @@
        EncodeShardRecord(MakeRecord()), out);
 }
 
-void shard_ledger::OnClaimWrite(const platform_reply& answer,
+void shard_journal::OnClaimWrite(const platform_reply& answer,
                                 action_list& out) {
   switch (answer.status) {
     case platform_status::kOk:
@@ -297,7 +297,7 @@
   }
 }
 
-void shard_ledger::OnCommit(time_point now,
+void shard_journal::OnCommit(time_point now,
                             const platform_reply& answer,
                             action_list& out) {
   switch (answer.status) {
@@ -322,7 +322,7 @@
   }
 }
 
-void shard_ledger::OnReadBack(time_point now,
+void shard_journal::OnReadBack(time_point now,
                               const platform_reply& answer,
                               action_list& out) {
   if (answer.status == platform_status::kNoAnswer) {
@@ -349,7 +349,7 @@
   committing_.clear();
 }
 
-void shard_ledger::GrantCommitted(action_list& out) {
+void shard_journal::GrantCommitted(action_list& out) {
   for (const key_hash& key : committing_) {
     const auto found = entries_.find(key);
     if (found == entries_.end() ||
@@ -362,7 +362,7 @@
   committing_.clear();
 }
 
-void shard_ledger::RefusePending(action_list& out) {
+void shard_journal::RefusePending(action_list& out) {
   for (auto& [key, item] : entries_) {
     if (item.state == entry_state::kPending) {
       item.state = entry_state::kUngranted;
@@ -373,13 +373,13 @@
   committing_.clear();
 }
 
-void shard_ledger::Depose(action_list& out) {
+void shard_journal::Depose(action_list& out) {
   RefusePending(out);
   entries_.clear();
   state_ = ownership::kNone;
 }
 
-void shard_ledger::OnFinish(const finish_report& report) {
+void shard_journal::OnFinish(const finish_report& report) {
   const auto found = entries_.find(report.key);
   if (found == entries_.end()) {
     return;
@@ -398,7 +398,7 @@
   }
 }
 
-void shard_ledger::OnRelease(const release_report& report) {
+void shard_journal::OnRelease(const release_report& report) {
   const auto found = entries_.find(report.key);
   if (found == entries_.end()) {
     return;
--- a/unittests/Once/shard_ledger_test.cc
+++ b/unittests/Once/shard_ledger_test.cc
@@ -11,9 +11,9 @@
 constexpr uint64_t kUnixNow = 1'800'000'000;
 
 /// A ledger whose platform is this test.
-class shard_ledger_test : public testing::Test {
+class shard_journal_test : public testing::Test {
  protected:
-  shard_ledger_test() : ledger_({.shard = 0, .host = "h1", .incarnation = 1}) {}
+  shard_journal_test() : ledger_({.shard = 0, .host = "h1", .incarnation = 1}) {}
 
   platform_call TakeCall() {
     for (size_t i = 0; i < out_.size(); ++i) {
@@ -82,11 +82,11 @@
   }
 
   time_point now_{std::chrono::seconds(1)};
-  shard_ledger ledger_;
+  shard_journal ledger_;
   action_list out_;
 };
 
-TEST_F(shard_ledger_test, GrantsOnlyAfterTheJournalIsWritten) {
+TEST_F(shard_journal_test, GrantsOnlyAfterTheJournalIsWritten) {
   Own();
   Start(1, 1);
   EXPECT_EQ(TakeVerdict(), std::nullopt);
@@ -96,7 +96,7 @@
   EXPECT_EQ(TakeVerdict(), start_result::kGranted);
 }
 
-TEST_F(shard_ledger_test, StartsThatComeDuringAWriteShareTheNext) {
+TEST_F(shard_journal_test, StartsThatComeDuringAWriteShareTheNext) {
   Own();
   Start(1, 1);
   const platform_call first = TakeCall();
@@ -110,7 +110,7 @@
   EXPECT_EQ(ledger_.write_count(), 3U);
 }
 
-TEST_F(shard_ledger_test, WritesKeepToTheirBudget) {
+TEST_F(shard_journal_test, WritesKeepToTheirBudget) {
   Own();
   Start(1, 1);
   Answer(TakeCall(), platform_status::kOk, 2);
@@ -120,7 +120,7 @@
   EXPECT_TRUE(HasCall());
 }
 
-TEST_F(shard_ledger_test, OwnLateWriteIsRecognisedAfterAConflict) {
+TEST_F(shard_journal_test, OwnLateWriteIsRecognisedAfterAConflict) {
   Own();
   Start(1, 1);
   const platform_call commit = TakeCall();
@@ -142,7 +142,7 @@
   EXPECT_EQ(TakeVerdict(), start_result::kGranted);
 }
 
-TEST_F(shard_ledger_test, RecordOfAnotherOwnerDeposes) {
+TEST_F(shard_journal_test, RecordOfAnotherOwnerDeposes) {
   Own();
   Start(1, 1);
   Answer(TakeCall(), platform_status::kConflict, 5);
@@ -151,20 +151,20 @@
       .epoch = 2, .owner_host = "h3", .owner_incarnation = 1};
   Answer(TakeCall(), platform_status::kOk, 5, EncodeShardRecord(other));
   EXPECT_EQ(TakeVerdict(), start_result::kRefused);
-  EXPECT_EQ(ledger_.state(), shard_ledger::ownership::kNone);
+  EXPECT_EQ(ledger_.state(), shard_journal::ownership::kNone);
 }
 
-TEST_F(shard_ledger_test, RecordThatIsNotOursIsNotServed) {
+TEST_F(shard_journal_test, RecordThatIsNotOursIsNotServed) {
   ledger_.Claim(out_);
   Answer(TakeCall(), platform_status::kOk, 5, "not a record");
-  EXPECT_EQ(ledger_.state(), shard_ledger::ownership::kNone);
+  EXPECT_EQ(ledger_.state(), shard_journal::ownership::kNone);
 }
 
 // Symptom: a key that was pruned runs again under a new owner.
 // Sequence: the owner prunes an entry; a successor whose clock is far behind
 //   is asked to start the same key.
 // Cause: the successor would find neither the entry nor an age to refuse.
-TEST_F(shard_ledger_test, PrunedKeyIsRefusedWhateverTheClockSays) {
+TEST_F(shard_journal_test, PrunedKeyIsRefusedWhateverTheClockSays) {
   Own();
   start_request old_start = MakeStart(1, 1);
   old_start.key_issued = kUnixNow - 500;
@@ -179,7 +179,7 @@
   const shard_record record = DecodeShardRecord(TakeCall().value);
   EXPECT_EQ(record.entries.size(), 1U);
 
-  shard_ledger successor({.shard = 0, .host = "h2", .incarnation = 1});
+  shard_journal successor({.shard = 0, .host = "h2", .incarnation = 1});
   out_.clear();
   successor.Claim(out_);
   const platform_call read = TakeCall();
@@ -197,7 +197,7 @@
   EXPECT_EQ(TakeVerdict(), start_result::kExpired);
 }
 
-TEST_F(shard_ledger_test, LongAnswerIsNotKept) {
+TEST_F(shard_journal_test, LongAnswerIsNotKept) {
   Own();
   Start(1, 1);
   Answer(TakeCall(), platform_status::kOk, 2);
@@ -209,12 +209,12 @@
   EXPECT_EQ(TakeVerdict(), start_result::kStarted);
 }
 
-TEST_F(shard_ledger_test, HandBackLeavesTheStartsToTheSuccessor) {
+TEST_F(shard_journal_test, HandBackLeavesTheStartsToTheSuccessor) {
   Own();
   Start(1, 1);
   Answer(TakeCall(), platform_status::kOk, 2);
   TakeVerdict();
-  ledger_.HandBack(kUnixNow, out_);
+  ledger_.Release(kUnixNow, out_);
   const shard_record record = DecodeShardRecord(TakeCall().value);
   EXPECT_TRUE(record.owner_host.empty());
   EXPECT_EQ(record.entries.size(), 1U);
