--- a/include/cuminswitch/Protocol/core_action.h
+++ b/include/cuminswitch/Protocol/core_action.h
@@ -60,7 +60,7 @@
   std::string_view prefix_origin;
   duration expected_queue{0};
   /// How long requests like this one wait for their first byte of late.
-  duration usual_first_byte{0};
+  duration mean_first_byte{0};
 };
 
 /// Stop an attempt; nothing more of it goes to the caller.
--- a/include/cuminswitch/Protocol/expected_wait.h
+++ b/include/cuminswitch/Protocol/expected_wait.h
@@ -17,22 +17,22 @@
   /// Since the request arrived.
   duration waited{0};
   /// Behind those that wait in this daemon and are as urgent.
-  duration turn{0};
+  duration local_queue{0};
   /// Until the upstream has room.
-  duration room{0};
+  duration capacity{0};
   /// Behind the prompts that the upstream has yet to read.
-  duration queue{0};
+  duration upstream_queue{0};
   /// While the upstream reads the request's own prompt.
-  duration reading{0};
+  duration prefill{0};
   /// By how much waits were longer than expected of late.
-  duration excess{0};
+  duration prediction_error{0};
   /// Age of the oldest that peers told of their requests and that counts.
-  duration news_age{0};
+  duration peer_data_age{0};
   /// By when the first byte should come, from the arrival.
   duration target{0};
 
   /// From now to the first byte.
-  duration Ahead() const { return turn + room + queue + reading + excess; }
+  duration Remaining() const { return local_queue + capacity + upstream_queue + prefill + prediction_error; }
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Routing/cache_planner.h
+++ b/include/cuminswitch/Routing/cache_planner.h
@@ -33,12 +33,12 @@
   /// The request shares none.
   kNone,
   /// The engine has it.
-  kKept,
+  kLocal,
   /// Another engine has it.
   kEngine,
   /// A store has it; or may have it, though this daemon was not told.
   kStore,
-  kStoreUntold,
+  kStoreAssumed,
   /// It is read sooner than copied.
   kTooShort,
   /// The store's links carry all that they can.
@@ -50,7 +50,7 @@
   /// Engines have it for other weights.
   kOtherWeights,
   /// An engine had it and will have forgotten it.
-  kForgotten,
+  kEvicted,
 };
 inline constexpr size_t kPrefixOrigins = 11;
 
--- a/include/cuminswitch/Routing/replica_table.h
+++ b/include/cuminswitch/Routing/replica_table.h
@@ -120,14 +120,14 @@
   /// the replica.
   void LearnTargetFirstByte(std::string_view target, duration took);
   /// How long requests to \p target wait for their first byte on average.
-  duration UsualFirstByte(std::string_view target) const;
+  duration MeanFirstByte(std::string_view target) const;
   /// Learns by how much a first byte from \p target came later than expected.
-  void LearnExcess(time_point now,
+  void LearnPredictionError(time_point now,
                    std::string_view target,
                    priority_class priority,
                    duration excess);
   /// By how much requests to \p target wait longer than expected of late.
-  duration UsualExcess(time_point now,
+  duration MeanPredictionError(time_point now,
                        std::string_view target,
                        priority_class priority) const;
   /// Learns how many tokens a request made the replica compute.
@@ -145,7 +145,7 @@
   double HitChance(time_point now, std::string_view target, duration age) const;
   /// Returns the replica of \p target that is \p prefix's first home, whether
   /// or not it can serve now.
-  std::optional<replica_index> HomeOf(std::string_view target,
+  std::optional<replica_index> PreferredReplica(std::string_view target,
                                       uint64_t prefix) const;
 
   /// Counts the replicas of \p target and what they run at once.
--- a/include/cuminswitch/Routing/target_estimate.h
+++ b/include/cuminswitch/Routing/target_estimate.h
@@ -26,16 +26,16 @@
   /// Learns how long a request waited for its first byte.
   void LearnFirstByte(duration took);
   /// How long requests wait for their first byte on average.
-  duration UsualFirstByte() const;
+  duration MeanFirstByte() const;
 
   /// Learns that a first byte came \p excess later than expected; negative for
   /// earlier.
-  void LearnExcess(time_point now, priority_class priority, duration excess);
+  void LearnPredictionError(time_point now, priority_class priority, duration excess);
   /// By how much first bytes come later than expected of late. What a daemon
   /// and its peers know of an engine's work lags, and leaves out what the
   /// engine does beside reading prompts. An expectation that is not corrected
   /// takes requests that will be late, and holds engines' memory with them.
-  duration UsualExcess(time_point now, priority_class priority) const;
+  duration MeanPredictionError(time_point now, priority_class priority) const;
 
   /// Counts prompt tokens that a request of this daemon adds to a cache.
   void CountAdded(time_point now, double tokens);
--- a/lib/Core/request_attempts.cc
+++ b/lib/Core/request_attempts.cc
@@ -120,7 +120,7 @@
       .expected_cached_tokens = chosen.expected_cached_tokens,
       .prefix_origin = ToString(cache.origin),
       .expected_queue = FromSeconds(queue),
-      .usual_first_byte = replicas_.UsualFirstByte(item.info.target)});
+      .mean_first_byte = replicas_.MeanFirstByte(item.info.target)});
   item.running = next;
 }
 
@@ -156,7 +156,7 @@
     replicas_.LearnFirstByte(running.index, took);
   } else {
     const duration excess = took - running.expected_wait;
-    replicas_.LearnExcess(now, item.info.target, PriorityOf(item), excess);
+    replicas_.LearnPredictionError(now, item.info.target, PriorityOf(item), excess);
     copy_budget_.OnFirstByte(running.copied_from_store, excess);
   }
   // Of the whole prompt: that a prefix was not cached after all says nothing
--- a/lib/Core/request_refusals.cc
+++ b/lib/Core/request_refusals.cc
@@ -60,14 +60,14 @@
   expected_wait wait{
       .upstream = {},
       .waited = now - ArrivedAt(item),
-      .turn = FromSeconds(ahead),
-      .room = FromSeconds(room),
-      .queue = FromSeconds(replicas_.EstimateQueueSeconds(now, chosen.index)),
-      .reading = FromSeconds(computing),
-      .excess = replicas_.UsualExcess(now, item.info.target, PriorityOf(item)),
+      .local_queue = FromSeconds(ahead),
+      .capacity = FromSeconds(room),
+      .upstream_queue = FromSeconds(replicas_.EstimateQueueSeconds(now, chosen.index)),
+      .prefill = FromSeconds(computing),
+      .prediction_error = replicas_.MeanPredictionError(now, item.info.target, PriorityOf(item)),
       .target = item.info.target_latency};
   const shedding_query question{.waited = wait.waited,
-                               .expected = wait.Ahead(),
+                               .expected = wait.Remaining(),
                                .target = item.info.target_latency,
                                .caller_idle_timeout = item.info.caller_idle_timeout,
                                .priority = PriorityOf(item)};
@@ -77,7 +77,7 @@
   ++counters_.shed;
   // For the log alone, so not worked out for requests that are taken.
   wait.upstream = replicas_[chosen.index].spec.name;
-  wait.news_age = replicas_.OldestPeerBacklog(now);
+  wait.peer_data_age = replicas_.OldestPeerBacklog(now);
   Refuse(item.info.request,
          {.status = status_code::kTooManyRequests,
           .message = "it would be served too late",
--- a/lib/Edge/request_flow.cc
+++ b/lib/Edge/request_flow.cc
@@ -61,7 +61,7 @@
   attempt_ = action.attempt;
   upstream_ = action.upstream;
   address_ = action.address;
-  usual_first_byte_ = action.usual_first_byte;
+  usual_first_byte_ = action.mean_first_byte;
   sent_at_ = now;
   ++attempts_;
   ++runs_;
--- a/lib/Edge/request_log.cc
+++ b/lib/Edge/request_log.cc
@@ -52,13 +52,13 @@
 /// Adds what a refusal for lateness was decided from.
 static void AddWait(const expected_wait& wait, log_line& line) {
   line.Add("best_upstream", wait.upstream)
-      .Add("expected_ms", wait.Ahead())
-      .Add("expected_turn_ms", wait.turn)
-      .Add("expected_room_ms", wait.room)
-      .Add("expected_queue_ms", wait.queue)
-      .Add("expected_reading_ms", wait.reading)
-      .Add("expected_excess_ms", wait.excess)
-      .Add("news_age_ms", wait.news_age)
+      .Add("expected_ms", wait.Remaining())
+      .Add("expected_turn_ms", wait.local_queue)
+      .Add("expected_room_ms", wait.capacity)
+      .Add("expected_queue_ms", wait.upstream_queue)
+      .Add("expected_reading_ms", wait.prefill)
+      .Add("expected_excess_ms", wait.prediction_error)
+      .Add("news_age_ms", wait.peer_data_age)
       .Add("target_ms", wait.target);
 }
 
--- a/lib/Routing/cache_planner.cc
+++ b/lib/Routing/cache_planner.cc
@@ -86,15 +86,15 @@
 
   prefix_origin OriginOf(const cache_plan& plan, bool was_saved) const {
     if (plan.hit_chance >= kSureHit) {
-      return prefix_origin::kKept;
+      return prefix_origin::kLocal;
     }
     if (plan.source) {
       return !plan.is_from_store ? prefix_origin::kEngine
              : was_saved         ? prefix_origin::kStore
-                                 : prefix_origin::kStoreUntold;
+                                 : prefix_origin::kStoreAssumed;
     }
     if (plan.hit_chance >= kLeastChanceToAsk) {
-      return prefix_origin::kKept;
+      return prefix_origin::kLocal;
     }
     return was_saved ? prefix_origin::kOverBudget : WhyNoEngine();
   }
@@ -110,7 +110,7 @@
           (holder.index == question_.chosen ||
            std::binary_search(question_.eligible.begin(),
                               question_.eligible.end(), holder.index));
-      prefix_origin reason = prefix_origin::kForgotten;
+      prefix_origin reason = prefix_origin::kEvicted;
       if (!serves) {
         reason = prefix_origin::kGone;
       } else if (question_.replicas.VersionAt(holder.index, model_.name) !=
@@ -125,7 +125,7 @@
   /// A store in the failure domain of the prefix's home, where there is one:
   /// that is where most of its copies go.
   const cache_store_spec* ChooseStore() const {
-    const auto home = question_.replicas.HomeOf(model_.name, shared_.hash);
+    const auto home = question_.replicas.PreferredReplica(model_.name, shared_.hash);
     const std::string domain =
         home ? question_.replicas[*home].spec.failure_domain : std::string();
     const cache_store_spec* best = nullptr;
--- a/lib/Routing/replica_learning.cc
+++ b/lib/Routing/replica_learning.cc
@@ -136,28 +136,28 @@
   }
 }
 
-duration replica_table::UsualFirstByte(std::string_view target) const {
+duration replica_table::MeanFirstByte(std::string_view target) const {
   const auto found = by_target_.find(target);
   return found == by_target_.end() ? duration(0)
-                                   : found->second.estimate.UsualFirstByte();
+                                   : found->second.estimate.MeanFirstByte();
 }
 
-void replica_table::LearnExcess(time_point now,
+void replica_table::LearnPredictionError(time_point now,
                                 std::string_view target,
                                 priority_class priority,
                                 duration excess) {
   if (const auto found = by_target_.find(target); found != by_target_.end()) {
-    found->second.estimate.LearnExcess(now, priority, excess);
+    found->second.estimate.LearnPredictionError(now, priority, excess);
   }
 }
 
-duration replica_table::UsualExcess(time_point now,
+duration replica_table::MeanPredictionError(time_point now,
                                     std::string_view target,
                                     priority_class priority) const {
   const auto found = by_target_.find(target);
   return found == by_target_.end()
              ? duration(0)
-             : found->second.estimate.UsualExcess(now, priority);
+             : found->second.estimate.MeanPredictionError(now, priority);
 }
 
 void replica_table::CountAdded(time_point now,
--- a/lib/Routing/target_estimate.cc
+++ b/lib/Routing/target_estimate.cc
@@ -32,7 +32,7 @@
       kFirstByteLearningRate * (ToSeconds(took) - first_byte_seconds_);
 }
 
-duration target_estimate::UsualFirstByte() const {
+duration target_estimate::MeanFirstByte() const {
   return FromSeconds(first_byte_seconds_);
 }
 
@@ -41,7 +41,7 @@
   return excess.seconds * std::exp(-age / kExcessSeconds);
 }
 
-void target_estimate::LearnExcess(time_point now,
+void target_estimate::LearnPredictionError(time_point now,
                                   priority_class priority,
                                   duration excess) {
   learnt_excess& known = excesses_[static_cast<size_t>(priority)];
@@ -51,7 +51,7 @@
       .at = now};
 }
 
-duration target_estimate::UsualExcess(time_point now,
+duration target_estimate::MeanPredictionError(time_point now,
                                       priority_class priority) const {
   const double seconds =
       ExcessAt(now, excesses_[static_cast<size_t>(priority)]);
--- a/unittests/Core/request_router_test.cc
+++ b/unittests/Core/request_router_test.cc
@@ -351,8 +351,8 @@
       ASSERT_TRUE(answer->wait);
       EXPECT_FALSE(answer->wait->upstream.empty());
       EXPECT_EQ(answer->wait->target, std::chrono::milliseconds(300));
-      EXPECT_GT(answer->wait->Ahead(), answer->wait->target);
-      EXPECT_GT(answer->wait->reading, duration(0));
+      EXPECT_GT(answer->wait->Remaining(), answer->wait->target);
+      EXPECT_GT(answer->wait->prefill, duration(0));
     }
   }
   EXPECT_GT(refused, 100);
--- a/unittests/Edge/request_flow_test.cc
+++ b/unittests/Edge/request_flow_test.cc
@@ -194,7 +194,7 @@
                                     .attempt = 1,
                                     .upstream = "u",
                                     .address = listener_.Address(),
-                                    .usual_first_byte = milliseconds(100)});
+                                    .mean_first_byte = milliseconds(100)});
   const auto first = listener_.Accept(base_);
   PassStallTime();
   EXPECT_EQ(owner_.failed, 0);
--- a/unittests/Routing/cache_planner_test.cc
+++ b/unittests/Routing/cache_planner_test.cc
@@ -183,7 +183,7 @@
   const endpoint near_b{"10.0.0.9", 9};
   model_.cache_stores = {{.address = near_a, .failure_domain = "x"},
                          {.address = near_b, .failure_domain = "y"}};
-  const bool is_at_a = *replicas_.HomeOf("m", 7) == 0;
+  const bool is_at_a = *replicas_.PreferredReplica("m", 7) == 0;
   EXPECT_EQ(Plan(0).source, is_at_a ? near_a : near_b);
   EXPECT_EQ(Plan(1).source, is_at_a ? near_a : near_b)
       << "the same wherever it runs";
@@ -200,11 +200,11 @@
 }
 
 TEST_F(cache_planner_test, TellsWhereAPrefixComesFromOrWhyItIsReadAgain) {
-  EXPECT_EQ(Plan(0).origin, prefix_origin::kStoreUntold);
+  EXPECT_EQ(Plan(0).origin, prefix_origin::kStoreAssumed);
   EXPECT_EQ(Plan(0, 10).origin, prefix_origin::kTooShort);
   PlaceAt(1);
   EXPECT_EQ(Plan(0).origin, prefix_origin::kEngine);
-  EXPECT_EQ(Plan(1).origin, prefix_origin::kKept);
+  EXPECT_EQ(Plan(1).origin, prefix_origin::kLocal);
   model_.cache_stores.clear();
   Report("b", "1");
   EXPECT_EQ(Plan(0).origin, prefix_origin::kOtherWeights);
--- a/unittests/Routing/replica_table_test.cc
+++ b/unittests/Routing/replica_table_test.cc
@@ -240,20 +240,20 @@
 // Symptom: a saved prefix is not found while engines change their weights.
 // Cause: its home, and so its store, was looked for among those that serve now.
 TEST_F(replica_table_test, AHomeStaysWhileItChanges) {
-  const auto home = table_.HomeOf("m", 7);
+  const auto home = table_.PreferredReplica("m", 7);
   ASSERT_TRUE(home);
   table_.SetChanging(
       {.upstream = table_[*home].spec.name, .is_changing = true});
-  EXPECT_EQ(table_.HomeOf("m", 7), home);
-  EXPECT_FALSE(table_.HomeOf("unknown", 7));
+  EXPECT_EQ(table_.PreferredReplica("m", 7), home);
+  EXPECT_FALSE(table_.PreferredReplica("unknown", 7));
 }
 
 TEST_F(replica_table_test, KnowsTheUsualWaitOfATarget) {
   for (int i = 0; i < 200; ++i) {
     table_.LearnTargetFirstByte("m", std::chrono::milliseconds(500));
   }
-  EXPECT_NEAR(ToSeconds(table_.UsualFirstByte("m")), 0.5, 0.01);
-  EXPECT_EQ(table_.UsualFirstByte("unknown"), duration(0));
+  EXPECT_NEAR(ToSeconds(table_.MeanFirstByte("m")), 0.5, 0.01);
+  EXPECT_EQ(table_.MeanFirstByte("unknown"), duration(0));
 }
 
 }  // namespace
