--- a/benchmarks/core_benchmark.cc
+++ b/benchmarks/core_benchmark.cc
@@ -7,7 +7,7 @@
 
 #include "cuminswitch/Config/configuration.h"
 #include "cuminswitch/Config/document.h"
-#include "cuminswitch/Once/shard_ledger.h"
+#include "cuminswitch/Once/shard_journal.h"
 #include "cuminswitch/Records/shard_record.h"
 #include "cuminswitch/Routing/placement_query.h"
 #include "cuminswitch/Routing/prefix_cost_policy.h"
--- a/include/cuminswitch/Admission/request_quarantine.h
+++ b/include/cuminswitch/Admission/request_quarantine.h
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-#include "cuminswitch/Protocol/crash_news.h"
+#include "cuminswitch/Protocol/crash_report.h"
 #include "cuminswitch/Support/hash.h"
 #include "cuminswitch/Support/time.h"
 
--- a/include/cuminswitch/Core/decision_core.h
+++ b/include/cuminswitch/Core/decision_core.h
@@ -15,7 +15,7 @@
 #include "cuminswitch/Core/request_router.h"
 #include "cuminswitch/Core/upstream_prober.h"
 #include "cuminswitch/Membership/member_table.h"
-#include "cuminswitch/Once/shard_keeper.h"
+#include "cuminswitch/Once/shard_manager.h"
 #include "cuminswitch/Protocol/core_action.h"
 #include "cuminswitch/Protocol/core_event.h"
 
--- a/include/cuminswitch/Core/request_router.h
+++ b/include/cuminswitch/Core/request_router.h
@@ -29,7 +29,7 @@
 #include "cuminswitch/Routing/placement_policy.h"
 #include "cuminswitch/Routing/placement_query.h"
 #include "cuminswitch/Routing/prefix_index.h"
-#include "cuminswitch/Routing/prompt_kinds.h"
+#include "cuminswitch/Routing/prompt_length_classifier.h"
 #include "cuminswitch/Routing/replica_table.h"
 
 namespace cuminswitch {
--- a/include/cuminswitch/Edge/arrival_translator.h
+++ b/include/cuminswitch/Edge/arrival_translator.h
@@ -5,7 +5,7 @@
 
 #include <string_view>
 
-#include "cuminswitch/Edge/quota_gate.h"
+#include "cuminswitch/Edge/quota_admission.h"
 #include "cuminswitch/Edge/request_flow.h"
 #include "cuminswitch/Protocol/core_event.h"
 
--- a/include/cuminswitch/Edge/attempt_verdict.h
+++ b/include/cuminswitch/Edge/attempt_disposition.h
@@ -1,7 +1,7 @@
 /// \file
 /// What an attempt's end means for its request.
-#ifndef CUMINSWITCH_EDGE_ATTEMPT_VERDICT_H_
-#define CUMINSWITCH_EDGE_ATTEMPT_VERDICT_H_
+#ifndef CUMINSWITCH_EDGE_ATTEMPT_DISPOSITION_H_
+#define CUMINSWITCH_EDGE_ATTEMPT_DISPOSITION_H_
 
 #include <cstdint>
 #include <string_view>
@@ -65,4 +65,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_EDGE_ATTEMPT_VERDICT_H_
+#endif  // CUMINSWITCH_EDGE_ATTEMPT_DISPOSITION_H_
--- a/include/cuminswitch/Edge/quota_gate.h
+++ b/include/cuminswitch/Edge/quota_admission.h
@@ -1,7 +1,7 @@
 /// \file
 /// Where requests wait to hear whether they are within their quota.
-#ifndef CUMINSWITCH_EDGE_QUOTA_GATE_H_
-#define CUMINSWITCH_EDGE_QUOTA_GATE_H_
+#ifndef CUMINSWITCH_EDGE_QUOTA_ADMISSION_H_
+#define CUMINSWITCH_EDGE_QUOTA_ADMISSION_H_
 
 #include <cstdint>
 #include <map>
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "cuminswitch/Admission/quota_policy.h"
-#include "cuminswitch/Fleet/route_plan.h"
+#include "cuminswitch/Fleet/routing_config.h"
 #include "cuminswitch/Protocol/core_event.h"
 
 namespace cuminswitch {
@@ -86,4 +86,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_EDGE_QUOTA_GATE_H_
+#endif  // CUMINSWITCH_EDGE_QUOTA_ADMISSION_H_
--- a/include/cuminswitch/Edge/request_flow.h
+++ b/include/cuminswitch/Edge/request_flow.h
@@ -7,11 +7,11 @@
 #include <optional>
 #include <string>
 
-#include "cuminswitch/Edge/answer_notices.h"
-#include "cuminswitch/Edge/attempt_verdict.h"
+#include "cuminswitch/Edge/upstream_feedback.h"
+#include "cuminswitch/Edge/attempt_disposition.h"
 #include "cuminswitch/Edge/edge_protocol.h"
 #include "cuminswitch/Edge/event_splitter.h"
-#include "cuminswitch/Fleet/route_plan.h"
+#include "cuminswitch/Fleet/routing_config.h"
 #include "cuminswitch/Http1/caller_exchange.h"
 #include "cuminswitch/Http1/upstream_call.h"
 #include "cuminswitch/Net/loop_timer.h"
--- a/include/cuminswitch/Edge/request_log.h
+++ b/include/cuminswitch/Edge/request_log.h
@@ -6,8 +6,8 @@
 #include <cstdint>
 #include <string_view>
 
-#include "cuminswitch/Edge/attempt_verdict.h"
-#include "cuminswitch/Edge/limit_gate.h"
+#include "cuminswitch/Edge/attempt_disposition.h"
+#include "cuminswitch/Edge/upstream_limit_admission.h"
 #include "cuminswitch/Log/event_log.h"
 #include "cuminswitch/Support/time.h"
 
--- a/include/cuminswitch/Edge/plan_translator.h
+++ b/include/cuminswitch/Edge/routing_config_translator.h
@@ -1,7 +1,7 @@
 /// \file
 /// From what is known of a deployment to the router's configuration.
-#ifndef CUMINSWITCH_EDGE_PLAN_TRANSLATOR_H_
-#define CUMINSWITCH_EDGE_PLAN_TRANSLATOR_H_
+#ifndef CUMINSWITCH_EDGE_ROUTING_CONFIG_TRANSLATOR_H_
+#define CUMINSWITCH_EDGE_ROUTING_CONFIG_TRANSLATOR_H_
 
 #include <memory>
 #include <string>
@@ -10,7 +10,7 @@
 
 #include "cuminswitch/Config/configuration.h"
 #include "cuminswitch/Core/request_router.h"
-#include "cuminswitch/Fleet/fleet_knowledge.h"
+#include "cuminswitch/Fleet/fleet_snapshot.h"
 
 namespace cuminswitch {
 
@@ -38,4 +38,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_EDGE_PLAN_TRANSLATOR_H_
+#endif  // CUMINSWITCH_EDGE_ROUTING_CONFIG_TRANSLATOR_H_
--- a/include/cuminswitch/Edge/answer_notices.h
+++ b/include/cuminswitch/Edge/upstream_feedback.h
@@ -1,7 +1,7 @@
 /// \file
 /// Which notices of an upstream's answer count.
-#ifndef CUMINSWITCH_EDGE_ANSWER_NOTICES_H_
-#define CUMINSWITCH_EDGE_ANSWER_NOTICES_H_
+#ifndef CUMINSWITCH_EDGE_UPSTREAM_FEEDBACK_H_
+#define CUMINSWITCH_EDGE_UPSTREAM_FEEDBACK_H_
 
 #include <optional>
 #include <string_view>
@@ -29,4 +29,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_EDGE_ANSWER_NOTICES_H_
+#endif  // CUMINSWITCH_EDGE_UPSTREAM_FEEDBACK_H_
--- a/include/cuminswitch/Edge/limit_gate.h
+++ b/include/cuminswitch/Edge/upstream_limit_admission.h
@@ -1,7 +1,7 @@
 /// \file
 /// Where requests wait to hear whether an upstream with a limit takes them.
-#ifndef CUMINSWITCH_EDGE_LIMIT_GATE_H_
-#define CUMINSWITCH_EDGE_LIMIT_GATE_H_
+#ifndef CUMINSWITCH_EDGE_UPSTREAM_LIMIT_ADMISSION_H_
+#define CUMINSWITCH_EDGE_UPSTREAM_LIMIT_ADMISSION_H_
 
 #include <cstdint>
 #include <memory>
@@ -63,4 +63,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_EDGE_LIMIT_GATE_H_
+#endif  // CUMINSWITCH_EDGE_UPSTREAM_LIMIT_ADMISSION_H_
--- a/include/cuminswitch/Edge/weights_census.h
+++ b/include/cuminswitch/Edge/weights_version_counter.h
@@ -1,7 +1,7 @@
 /// \file
 /// Which versions of which models upstreams hold.
-#ifndef CUMINSWITCH_EDGE_WEIGHTS_CENSUS_H_
-#define CUMINSWITCH_EDGE_WEIGHTS_CENSUS_H_
+#ifndef CUMINSWITCH_EDGE_WEIGHTS_VERSION_COUNTER_H_
+#define CUMINSWITCH_EDGE_WEIGHTS_VERSION_COUNTER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -10,7 +10,7 @@
 #include <string>
 #include <string_view>
 
-#include "cuminswitch/Fleet/fleet_knowledge.h"
+#include "cuminswitch/Fleet/fleet_snapshot.h"
 
 namespace cuminswitch {
 
@@ -31,4 +31,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_EDGE_WEIGHTS_CENSUS_H_
+#endif  // CUMINSWITCH_EDGE_WEIGHTS_VERSION_COUNTER_H_
--- a/include/cuminswitch/Fleet/address_choice.h
+++ b/include/cuminswitch/Fleet/address_selection.h
@@ -1,7 +1,7 @@
 /// \file
 /// Which hosts' addresses a caller is told.
-#ifndef CUMINSWITCH_FLEET_ADDRESS_CHOICE_H_
-#define CUMINSWITCH_FLEET_ADDRESS_CHOICE_H_
+#ifndef CUMINSWITCH_FLEET_ADDRESS_SELECTION_H_
+#define CUMINSWITCH_FLEET_ADDRESS_SELECTION_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -34,4 +34,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_FLEET_ADDRESS_CHOICE_H_
+#endif  // CUMINSWITCH_FLEET_ADDRESS_SELECTION_H_
--- a/include/cuminswitch/Fleet/crash_bulletin.h
+++ b/include/cuminswitch/Fleet/crash_update_queue.h
@@ -1,7 +1,7 @@
 /// \file
 /// What each beat tells of requests that may crash upstreams.
-#ifndef CUMINSWITCH_FLEET_CRASH_BULLETIN_H_
-#define CUMINSWITCH_FLEET_CRASH_BULLETIN_H_
+#ifndef CUMINSWITCH_FLEET_CRASH_UPDATE_QUEUE_H_
+#define CUMINSWITCH_FLEET_CRASH_UPDATE_QUEUE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "cuminswitch/Fleet/fleet_message.h"
-#include "cuminswitch/Fleet/peer_news.h"
+#include "cuminswitch/Fleet/peer_update_log.h"
 
 namespace cuminswitch {
 
@@ -50,4 +50,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_FLEET_CRASH_BULLETIN_H_
+#endif  // CUMINSWITCH_FLEET_CRASH_UPDATE_QUEUE_H_
--- a/include/cuminswitch/Fleet/fleet_message.h
+++ b/include/cuminswitch/Fleet/fleet_message.h
@@ -8,10 +8,10 @@
 #include <variant>
 #include <vector>
 
-#include "cuminswitch/Fleet/fleet_knowledge.h"
+#include "cuminswitch/Fleet/fleet_snapshot.h"
 #include "cuminswitch/Fleet/peer_frame.h"
 #include "cuminswitch/Fleet/upstream_directory.h"
-#include "cuminswitch/Protocol/crash_news.h"
+#include "cuminswitch/Protocol/crash_report.h"
 #include "cuminswitch/Protocol/upstream_notice.h"
 #include "cuminswitch/Support/time.h"
 
--- a/include/cuminswitch/Fleet/fleet_knowledge.h
+++ b/include/cuminswitch/Fleet/fleet_snapshot.h
@@ -1,7 +1,7 @@
 /// \file
 /// What a daemon knows of the deployment, decoded.
-#ifndef CUMINSWITCH_FLEET_FLEET_KNOWLEDGE_H_
-#define CUMINSWITCH_FLEET_FLEET_KNOWLEDGE_H_
+#ifndef CUMINSWITCH_FLEET_FLEET_SNAPSHOT_H_
+#define CUMINSWITCH_FLEET_FLEET_SNAPSHOT_H_
 
 #include <cstdint>
 #include <memory>
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "cuminswitch/Fleet/item_view.h"
-#include "cuminswitch/Fleet/route_plan.h"
+#include "cuminswitch/Fleet/routing_config.h"
 #include "cuminswitch/Support/endpoint.h"
 #include "cuminswitch/Support/hash.h"
 
@@ -99,4 +99,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_FLEET_FLEET_KNOWLEDGE_H_
+#endif  // CUMINSWITCH_FLEET_FLEET_SNAPSHOT_H_
--- a/include/cuminswitch/Fleet/follower_choice.h
+++ b/include/cuminswitch/Fleet/follower_selection.h
@@ -1,7 +1,7 @@
 /// \file
 /// Which daemons follow the store.
-#ifndef CUMINSWITCH_FLEET_FOLLOWER_CHOICE_H_
-#define CUMINSWITCH_FLEET_FOLLOWER_CHOICE_H_
+#ifndef CUMINSWITCH_FLEET_FOLLOWER_SELECTION_H_
+#define CUMINSWITCH_FLEET_FOLLOWER_SELECTION_H_
 
 #include <cstddef>
 #include <span>
@@ -35,4 +35,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_FLEET_FOLLOWER_CHOICE_H_
+#endif  // CUMINSWITCH_FLEET_FOLLOWER_SELECTION_H_
--- a/include/cuminswitch/Fleet/item_feed.h
+++ b/include/cuminswitch/Fleet/item_watcher.h
@@ -1,7 +1,7 @@
 /// \file
 /// Keeps a view of the store's items up to date.
-#ifndef CUMINSWITCH_FLEET_ITEM_FEED_H_
-#define CUMINSWITCH_FLEET_ITEM_FEED_H_
+#ifndef CUMINSWITCH_FLEET_ITEM_WATCHER_H_
+#define CUMINSWITCH_FLEET_ITEM_WATCHER_H_
 
 #include <functional>
 #include <memory>
@@ -92,4 +92,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_FLEET_ITEM_FEED_H_
+#endif  // CUMINSWITCH_FLEET_ITEM_WATCHER_H_
--- a/include/cuminswitch/Fleet/question_pacer.h
+++ b/include/cuminswitch/Fleet/items_request_tracker.h
@@ -1,7 +1,7 @@
 /// \file
 /// When a daemon asks its peers for items again.
-#ifndef CUMINSWITCH_FLEET_QUESTION_PACER_H_
-#define CUMINSWITCH_FLEET_QUESTION_PACER_H_
+#ifndef CUMINSWITCH_FLEET_ITEMS_REQUEST_TRACKER_H_
+#define CUMINSWITCH_FLEET_ITEMS_REQUEST_TRACKER_H_
 
 #include <cstdint>
 #include <string>
@@ -38,4 +38,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_FLEET_QUESTION_PACER_H_
+#endif  // CUMINSWITCH_FLEET_ITEMS_REQUEST_TRACKER_H_
--- a/include/cuminswitch/Fleet/member_bulletin.h
+++ b/include/cuminswitch/Fleet/member_update_queue.h
@@ -1,7 +1,7 @@
 /// \file
 /// News of members that go from daemon to daemon.
-#ifndef CUMINSWITCH_FLEET_MEMBER_BULLETIN_H_
-#define CUMINSWITCH_FLEET_MEMBER_BULLETIN_H_
+#ifndef CUMINSWITCH_FLEET_MEMBER_UPDATE_QUEUE_H_
+#define CUMINSWITCH_FLEET_MEMBER_UPDATE_QUEUE_H_
 
 #include <cstddef>
 #include <map>
@@ -47,4 +47,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_FLEET_MEMBER_BULLETIN_H_
+#endif  // CUMINSWITCH_FLEET_MEMBER_UPDATE_QUEUE_H_
--- a/include/cuminswitch/Fleet/peer_frame.h
+++ b/include/cuminswitch/Fleet/peer_frame.h
@@ -15,7 +15,7 @@
 #include "cuminswitch/Fleet/item_view.h"
 #include "cuminswitch/Fleet/staleness_tracker.h"
 #include "cuminswitch/Protocol/core_event.h"
-#include "cuminswitch/Protocol/crash_news.h"
+#include "cuminswitch/Protocol/crash_report.h"
 #include "cuminswitch/Protocol/quota_message.h"
 #include "cuminswitch/Protocol/upstream_notice.h"
 #include "cuminswitch/Support/endpoint.h"
--- a/include/cuminswitch/Fleet/peer_roster.h
+++ b/include/cuminswitch/Fleet/peer_table.h
@@ -1,7 +1,7 @@
 /// \file
 /// Which other daemons there are, and which of them live.
-#ifndef CUMINSWITCH_FLEET_PEER_ROSTER_H_
-#define CUMINSWITCH_FLEET_PEER_ROSTER_H_
+#ifndef CUMINSWITCH_FLEET_PEER_TABLE_H_
+#define CUMINSWITCH_FLEET_PEER_TABLE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -13,8 +13,8 @@
 #include <utility>
 #include <vector>
 
-#include "cuminswitch/Fleet/fleet_knowledge.h"
-#include "cuminswitch/Fleet/member_bulletin.h"
+#include "cuminswitch/Fleet/fleet_snapshot.h"
+#include "cuminswitch/Fleet/member_update_queue.h"
 #include "cuminswitch/Fleet/peer_frame.h"
 #include "cuminswitch/Support/time.h"
 
@@ -233,4 +233,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_FLEET_PEER_ROSTER_H_
+#endif  // CUMINSWITCH_FLEET_PEER_TABLE_H_
--- a/include/cuminswitch/Fleet/peer_news.h
+++ b/include/cuminswitch/Fleet/peer_update_log.h
@@ -1,7 +1,7 @@
 /// \file
 /// What each peer is still to be told.
-#ifndef CUMINSWITCH_FLEET_PEER_NEWS_H_
-#define CUMINSWITCH_FLEET_PEER_NEWS_H_
+#ifndef CUMINSWITCH_FLEET_PEER_UPDATE_LOG_H_
+#define CUMINSWITCH_FLEET_PEER_UPDATE_LOG_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -60,4 +60,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_FLEET_PEER_NEWS_H_
+#endif  // CUMINSWITCH_FLEET_PEER_UPDATE_LOG_H_
--- a/include/cuminswitch/Fleet/route_plan.h
+++ b/include/cuminswitch/Fleet/routing_config.h
@@ -1,8 +1,8 @@
 /// \file
 /// What the operators want, as typed data. The structs are one family and
 /// share this header.
-#ifndef CUMINSWITCH_FLEET_ROUTE_PLAN_H_
-#define CUMINSWITCH_FLEET_ROUTE_PLAN_H_
+#ifndef CUMINSWITCH_FLEET_ROUTING_CONFIG_H_
+#define CUMINSWITCH_FLEET_ROUTING_CONFIG_H_
 
 #include <chrono>
 #include <cstdint>
@@ -147,4 +147,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_FLEET_ROUTE_PLAN_H_
+#endif  // CUMINSWITCH_FLEET_ROUTING_CONFIG_H_
--- a/include/cuminswitch/Fleet/store_duty.h
+++ b/include/cuminswitch/Fleet/store_follower_policy.h
@@ -1,7 +1,7 @@
 /// \file
 /// When a daemon follows the store.
-#ifndef CUMINSWITCH_FLEET_STORE_DUTY_H_
-#define CUMINSWITCH_FLEET_STORE_DUTY_H_
+#ifndef CUMINSWITCH_FLEET_STORE_FOLLOWER_POLICY_H_
+#define CUMINSWITCH_FLEET_STORE_FOLLOWER_POLICY_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -57,4 +57,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_FLEET_STORE_DUTY_H_
+#endif  // CUMINSWITCH_FLEET_STORE_FOLLOWER_POLICY_H_
--- a/include/cuminswitch/Fleet/lapsed_upstreams.h
+++ b/include/cuminswitch/Fleet/store_outage_tracker.h
@@ -1,7 +1,7 @@
 /// \file
 /// Upstreams whose entries went with the store's own trouble.
-#ifndef CUMINSWITCH_FLEET_LAPSED_UPSTREAMS_H_
-#define CUMINSWITCH_FLEET_LAPSED_UPSTREAMS_H_
+#ifndef CUMINSWITCH_FLEET_STORE_OUTAGE_TRACKER_H_
+#define CUMINSWITCH_FLEET_STORE_OUTAGE_TRACKER_H_
 
 #include <cstdint>
 #include <optional>
@@ -75,4 +75,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_FLEET_LAPSED_UPSTREAMS_H_
+#endif  // CUMINSWITCH_FLEET_STORE_OUTAGE_TRACKER_H_
--- a/include/cuminswitch/Fleet/upstream_directory.h
+++ b/include/cuminswitch/Fleet/upstream_directory.h
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-#include "cuminswitch/Fleet/fleet_knowledge.h"
+#include "cuminswitch/Fleet/fleet_snapshot.h"
 #include "cuminswitch/Support/time.h"
 
 namespace cuminswitch {
--- a/include/cuminswitch/Fleet/weights_rollout.h
+++ b/include/cuminswitch/Fleet/weights_rollout.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "cuminswitch/Fleet/fleet_knowledge.h"
+#include "cuminswitch/Fleet/fleet_snapshot.h"
 #include "cuminswitch/Support/time.h"
 
 namespace cuminswitch {
--- a/include/cuminswitch/Once/shard_ledger.h
+++ b/include/cuminswitch/Once/shard_journal.h
@@ -1,7 +1,7 @@
 /// \file
 /// The owner's side of at-most-once: one shard of the idempotency-key space.
-#ifndef CUMINSWITCH_ONCE_SHARD_LEDGER_H_
-#define CUMINSWITCH_ONCE_SHARD_LEDGER_H_
+#ifndef CUMINSWITCH_ONCE_SHARD_JOURNAL_H_
+#define CUMINSWITCH_ONCE_SHARD_JOURNAL_H_
 
 #include <cstdint>
 #include <string>
@@ -152,4 +152,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_ONCE_SHARD_LEDGER_H_
+#endif  // CUMINSWITCH_ONCE_SHARD_JOURNAL_H_
--- a/include/cuminswitch/Once/shard_keeper.h
+++ b/include/cuminswitch/Once/shard_manager.h
@@ -1,15 +1,15 @@
 /// \file
 /// All idempotency-key shards as one daemon sees them: which it owns, which
 /// it should claim, and where the others' owners are.
-#ifndef CUMINSWITCH_ONCE_SHARD_KEEPER_H_
-#define CUMINSWITCH_ONCE_SHARD_KEEPER_H_
+#ifndef CUMINSWITCH_ONCE_SHARD_MANAGER_H_
+#define CUMINSWITCH_ONCE_SHARD_MANAGER_H_
 
 #include <cstdint>
 #include <random>
 #include <string>
 #include <vector>
 
-#include "cuminswitch/Once/shard_ledger.h"
+#include "cuminswitch/Once/shard_journal.h"
 #include "cuminswitch/Protocol/core_action.h"
 #include "cuminswitch/Protocol/peer_message.h"
 #include "cuminswitch/Support/time.h"
@@ -83,4 +83,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_ONCE_SHARD_KEEPER_H_
+#endif  // CUMINSWITCH_ONCE_SHARD_MANAGER_H_
--- a/include/cuminswitch/Protocol/crash_news.h
+++ b/include/cuminswitch/Protocol/crash_report.h
@@ -1,8 +1,8 @@
 /// \file
 /// Signs that a request crashes the upstreams that run it. The structs are one
 /// family and share this header.
-#ifndef CUMINSWITCH_PROTOCOL_CRASH_NEWS_H_
-#define CUMINSWITCH_PROTOCOL_CRASH_NEWS_H_
+#ifndef CUMINSWITCH_PROTOCOL_CRASH_REPORT_H_
+#define CUMINSWITCH_PROTOCOL_CRASH_REPORT_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -68,4 +68,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_PROTOCOL_CRASH_NEWS_H_
+#endif  // CUMINSWITCH_PROTOCOL_CRASH_REPORT_H_
--- a/include/cuminswitch/Routing/prompt_kinds.h
+++ b/include/cuminswitch/Routing/prompt_length_classifier.h
@@ -1,7 +1,7 @@
 /// \file
 /// Which prompts are long, and how many engines are kept for the short ones.
-#ifndef CUMINSWITCH_ROUTING_PROMPT_KINDS_H_
-#define CUMINSWITCH_ROUTING_PROMPT_KINDS_H_
+#ifndef CUMINSWITCH_ROUTING_PROMPT_LENGTH_CLASSIFIER_H_
+#define CUMINSWITCH_ROUTING_PROMPT_LENGTH_CLASSIFIER_H_
 
 #include <map>
 #include <string>
@@ -70,4 +70,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_ROUTING_PROMPT_KINDS_H_
+#endif  // CUMINSWITCH_ROUTING_PROMPT_LENGTH_CLASSIFIER_H_
--- a/include/cuminswitch/Routing/replica_table.h
+++ b/include/cuminswitch/Routing/replica_table.h
@@ -15,7 +15,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "cuminswitch/Routing/prompt_kinds.h"
+#include "cuminswitch/Routing/prompt_length_classifier.h"
 #include "cuminswitch/Routing/replica.h"
 #include "cuminswitch/Routing/target_estimate.h"
 #include "cuminswitch/Support/time.h"
--- a/lib/Edge/arrival_translator.cc
+++ b/lib/Edge/arrival_translator.cc
@@ -5,7 +5,7 @@
 #include <utility>
 #include <vector>
 
-#include "cuminswitch/Edge/plan_translator.h"
+#include "cuminswitch/Edge/routing_config_translator.h"
 #include "cuminswitch/Support/hash.h"
 
 namespace cuminswitch {
--- a/lib/Edge/attempt_verdict.cc
+++ b/lib/Edge/attempt_disposition.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Edge/attempt_verdict.h"
+#include "cuminswitch/Edge/attempt_disposition.h"
 
 namespace cuminswitch {
 
--- a/lib/Edge/edge_knowledge.cc
+++ b/lib/Edge/edge_knowledge.cc
@@ -2,7 +2,7 @@
 #include <vector>
 
 #include "cuminswitch/Edge/edge_task.h"
-#include "cuminswitch/Edge/plan_translator.h"
+#include "cuminswitch/Edge/routing_config_translator.h"
 #include "cuminswitch/Fleet/boot_clock.h"
 #include "cuminswitch/Kernel/kernel.h"
 #include "cuminswitch/Log/event_log.h"
--- a/lib/Edge/quota_gate.cc
+++ b/lib/Edge/quota_admission.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Edge/quota_gate.h"
+#include "cuminswitch/Edge/quota_admission.h"
 
 #include <utility>
 
--- a/lib/Edge/plan_translator.cc
+++ b/lib/Edge/routing_config_translator.cc
@@ -1,9 +1,9 @@
-#include "cuminswitch/Edge/plan_translator.h"
+#include "cuminswitch/Edge/routing_config_translator.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "cuminswitch/Edge/weights_census.h"
+#include "cuminswitch/Edge/weights_version_counter.h"
 #include "cuminswitch/Support/hash.h"
 
 namespace cuminswitch {
--- a/lib/Edge/answer_notices.cc
+++ b/lib/Edge/upstream_feedback.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Edge/answer_notices.h"
+#include "cuminswitch/Edge/upstream_feedback.h"
 
 namespace cuminswitch {
 
--- a/lib/Edge/limit_gate.cc
+++ b/lib/Edge/upstream_limit_admission.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Edge/limit_gate.h"
+#include "cuminswitch/Edge/upstream_limit_admission.h"
 
 #include "cuminswitch/Admission/upstream_limits.h"
 
--- a/lib/Edge/weights_census.cc
+++ b/lib/Edge/weights_version_counter.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Edge/weights_census.h"
+#include "cuminswitch/Edge/weights_version_counter.h"
 
 #include <iterator>
 
--- a/lib/Fleet/address_choice.cc
+++ b/lib/Fleet/address_selection.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Fleet/address_choice.h"
+#include "cuminswitch/Fleet/address_selection.h"
 
 #include <algorithm>
 #include <functional>
--- a/lib/Fleet/crash_bulletin.cc
+++ b/lib/Fleet/crash_update_queue.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Fleet/crash_bulletin.h"
+#include "cuminswitch/Fleet/crash_update_queue.h"
 
 #include <algorithm>
 
--- a/lib/Fleet/follower_choice.cc
+++ b/lib/Fleet/follower_selection.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Fleet/follower_choice.h"
+#include "cuminswitch/Fleet/follower_selection.h"
 
 #include <algorithm>
 #include <set>
--- a/lib/Fleet/item_feed.cc
+++ b/lib/Fleet/item_watcher.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Fleet/item_feed.h"
+#include "cuminswitch/Fleet/item_watcher.h"
 
 #include <algorithm>
 #include <utility>
--- a/lib/Fleet/question_pacer.cc
+++ b/lib/Fleet/items_request_tracker.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Fleet/question_pacer.h"
+#include "cuminswitch/Fleet/items_request_tracker.h"
 
 #include <utility>
 
--- a/lib/Fleet/member_bulletin.cc
+++ b/lib/Fleet/member_update_queue.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Fleet/member_bulletin.h"
+#include "cuminswitch/Fleet/member_update_queue.h"
 
 namespace cuminswitch {
 
--- a/lib/Fleet/peer_roster.cc
+++ b/lib/Fleet/peer_table.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Fleet/peer_roster.h"
+#include "cuminswitch/Fleet/peer_table.h"
 
 #include <algorithm>
 #include <tuple>
--- a/lib/Fleet/peer_targets.cc
+++ b/lib/Fleet/peer_targets.cc
@@ -3,7 +3,7 @@
 #include <tuple>
 #include <utility>
 
-#include "cuminswitch/Fleet/peer_roster.h"
+#include "cuminswitch/Fleet/peer_table.h"
 #include "cuminswitch/Support/hash.h"
 #include "cuminswitch/Support/rendezvous.h"
 #include "roster_constants.h"
--- a/lib/Fleet/roster_constants.h
+++ b/lib/Fleet/roster_constants.h
@@ -5,7 +5,7 @@
 
 #include <cstddef>
 
-#include "cuminswitch/Fleet/peer_roster.h"
+#include "cuminswitch/Fleet/peer_table.h"
 
 namespace cuminswitch {
 
--- a/lib/Fleet/route_plan.cc
+++ b/lib/Fleet/routing_config.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Fleet/route_plan.h"
+#include "cuminswitch/Fleet/routing_config.h"
 
 #include <algorithm>
 #include <tuple>
--- a/lib/Fleet/store_duty.cc
+++ b/lib/Fleet/store_follower_policy.cc
@@ -1,9 +1,9 @@
-#include "cuminswitch/Fleet/store_duty.h"
+#include "cuminswitch/Fleet/store_follower_policy.h"
 
 #include <algorithm>
 #include <vector>
 
-#include "cuminswitch/Fleet/follower_choice.h"
+#include "cuminswitch/Fleet/follower_selection.h"
 #include "cuminswitch/Fleet/peer_frame.h"
 #include "cuminswitch/Fleet/staleness_tracker.h"
 #include "cuminswitch/Support/hash.h"
--- a/lib/Fleet/lapsed_upstreams.cc
+++ b/lib/Fleet/store_outage_tracker.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Fleet/lapsed_upstreams.h"
+#include "cuminswitch/Fleet/store_outage_tracker.h"
 
 #include <algorithm>
 
--- a/lib/Fleet/upstream_directory.cc
+++ b/lib/Fleet/upstream_directory.cc
@@ -4,7 +4,7 @@
 #include <tuple>
 #include <utility>
 
-#include "cuminswitch/Fleet/lapsed_upstreams.h"
+#include "cuminswitch/Fleet/store_outage_tracker.h"
 #include "cuminswitch/Support/hash.h"
 
 namespace cuminswitch {
--- a/lib/Once/shard_ledger.cc
+++ b/lib/Once/shard_journal.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Once/shard_ledger.h"
+#include "cuminswitch/Once/shard_journal.h"
 
 #include <algorithm>
 #include <cassert>
--- a/lib/Once/shard_keeper.cc
+++ b/lib/Once/shard_manager.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Once/shard_keeper.h"
+#include "cuminswitch/Once/shard_manager.h"
 
 #include "cuminswitch/Membership/member_table.h"
 #include "cuminswitch/Support/hash.h"
--- a/lib/Routing/prompt_kinds.cc
+++ b/lib/Routing/prompt_length_classifier.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Routing/prompt_kinds.h"
+#include "cuminswitch/Routing/prompt_length_classifier.h"
 
 #include <algorithm>
 #include <cmath>
--- a/unittests/Edge/attempt_verdict_test.cc
+++ b/unittests/Edge/attempt_disposition_test.cc
@@ -1,6 +1,6 @@
 // Every cell of the table: what came back, how far the caller's answer is, and
 // whether the request may run again.
-#include "cuminswitch/Edge/attempt_verdict.h"
+#include "cuminswitch/Edge/attempt_disposition.h"
 
 #include <gtest/gtest.h>
 
--- a/unittests/Edge/answer_notices_test.cc
+++ b/unittests/Edge/upstream_feedback_test.cc
@@ -1,5 +1,5 @@
 // Which notices of an upstream's answer count.
-#include "cuminswitch/Edge/answer_notices.h"
+#include "cuminswitch/Edge/upstream_feedback.h"
 
 #include <gtest/gtest.h>
 
--- a/unittests/Edge/weights_census_test.cc
+++ b/unittests/Edge/weights_version_counter_test.cc
@@ -1,5 +1,5 @@
 // Which versions of models upstreams hold, one change at a time.
-#include "cuminswitch/Edge/weights_census.h"
+#include "cuminswitch/Edge/weights_version_counter.h"
 
 #include <gtest/gtest.h>
 
--- a/unittests/Fleet/address_choice_test.cc
+++ b/unittests/Fleet/address_selection_test.cc
@@ -1,5 +1,5 @@
 // What callers of a fleet are told that is larger than one answer.
-#include "cuminswitch/Fleet/address_choice.h"
+#include "cuminswitch/Fleet/address_selection.h"
 
 #include <gtest/gtest.h>
 
--- a/unittests/Fleet/crash_bulletin_test.cc
+++ b/unittests/Fleet/crash_update_queue_test.cc
@@ -1,5 +1,5 @@
 // What each beat tells of requests that may crash upstreams.
-#include "cuminswitch/Fleet/crash_bulletin.h"
+#include "cuminswitch/Fleet/crash_update_queue.h"
 
 #include <gtest/gtest.h>
 
--- a/unittests/Fleet/follower_choice_test.cc
+++ b/unittests/Fleet/follower_selection_test.cc
@@ -1,5 +1,5 @@
 // Which daemons follow the store.
-#include "cuminswitch/Fleet/follower_choice.h"
+#include "cuminswitch/Fleet/follower_selection.h"
 
 #include <gtest/gtest.h>
 
--- a/unittests/Fleet/item_feed_test.cc
+++ b/unittests/Fleet/item_watcher_test.cc
@@ -1,5 +1,5 @@
 // How a daemon that starts comes to know all items.
-#include "cuminswitch/Fleet/item_feed.h"
+#include "cuminswitch/Fleet/item_watcher.h"
 
 #include <event2/event.h>
 #include <gtest/gtest.h>
--- a/unittests/Fleet/question_pacer_test.cc
+++ b/unittests/Fleet/items_request_tracker_test.cc
@@ -1,5 +1,5 @@
 // How often peers are asked for items.
-#include "cuminswitch/Fleet/question_pacer.h"
+#include "cuminswitch/Fleet/items_request_tracker.h"
 
 #include <gtest/gtest.h>
 
--- a/unittests/Fleet/peer_roster_test.cc
+++ b/unittests/Fleet/peer_table_test.cc
@@ -1,5 +1,5 @@
 // Who lives, and whom to tell.
-#include "cuminswitch/Fleet/peer_roster.h"
+#include "cuminswitch/Fleet/peer_table.h"
 
 #include <gtest/gtest.h>
 
--- a/unittests/Fleet/peer_news_test.cc
+++ b/unittests/Fleet/peer_update_log_test.cc
@@ -1,5 +1,5 @@
 // What peers are told of placements.
-#include "cuminswitch/Fleet/peer_news.h"
+#include "cuminswitch/Fleet/peer_update_log.h"
 
 #include <gtest/gtest.h>
 
--- a/unittests/Fleet/roster_fleet.h
+++ b/unittests/Fleet/roster_fleet.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "cuminswitch/Fleet/peer_roster.h"
+#include "cuminswitch/Fleet/peer_table.h"
 
 namespace cuminswitch {
 
--- a/unittests/Fleet/route_plan_test.cc
+++ b/unittests/Fleet/routing_config_test.cc
@@ -1,5 +1,5 @@
 // Routes by host and longest prefix, and holders of credentials.
-#include "cuminswitch/Fleet/route_plan.h"
+#include "cuminswitch/Fleet/routing_config.h"
 
 #include <gtest/gtest.h>
 
--- a/unittests/Fleet/store_fleet.h
+++ b/unittests/Fleet/store_fleet.h
@@ -12,7 +12,7 @@
 
 #include "cuminswitch/Fleet/peer_frame.h"
 #include "cuminswitch/Fleet/staleness_tracker.h"
-#include "cuminswitch/Fleet/store_duty.h"
+#include "cuminswitch/Fleet/store_follower_policy.h"
 
 namespace cuminswitch {
 
--- a/unittests/Fleet/store_duty_test.cc
+++ b/unittests/Fleet/store_follower_policy_test.cc
@@ -1,5 +1,5 @@
 // Who follows the store where followers may lose it.
-#include "cuminswitch/Fleet/store_duty.h"
+#include "cuminswitch/Fleet/store_follower_policy.h"
 
 #include <gtest/gtest.h>
 
--- a/unittests/Fleet/lapsed_upstreams_test.cc
+++ b/unittests/Fleet/store_outage_tracker_test.cc
@@ -1,5 +1,5 @@
 // When upstreams may live that the store does not list.
-#include "cuminswitch/Fleet/lapsed_upstreams.h"
+#include "cuminswitch/Fleet/store_outage_tracker.h"
 
 #include <gtest/gtest.h>
 
--- a/unittests/Fleet/upstream_directory_test.cc
+++ b/unittests/Fleet/upstream_directory_test.cc
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "cuminswitch/Fleet/lapsed_upstreams.h"
+#include "cuminswitch/Fleet/store_outage_tracker.h"
 
 namespace cuminswitch {
 namespace {
--- a/unittests/Fleet/weights_rollout_test.cc
+++ b/unittests/Fleet/weights_rollout_test.cc
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "cuminswitch/Fleet/lapsed_upstreams.h"
+#include "cuminswitch/Fleet/store_outage_tracker.h"
 #include "cuminswitch/Fleet/upstream_directory.h"
 
 namespace cuminswitch {
--- a/unittests/PlatformAdapter/fleet_growth_test.cc
+++ b/unittests/PlatformAdapter/fleet_growth_test.cc
@@ -14,10 +14,10 @@
 #include <vector>
 
 #include "cuminswitch/Core/request_router.h"
-#include "cuminswitch/Edge/plan_translator.h"
-#include "cuminswitch/Edge/weights_census.h"
-#include "cuminswitch/Fleet/lapsed_upstreams.h"
-#include "cuminswitch/Fleet/peer_roster.h"
+#include "cuminswitch/Edge/routing_config_translator.h"
+#include "cuminswitch/Edge/weights_version_counter.h"
+#include "cuminswitch/Fleet/store_outage_tracker.h"
+#include "cuminswitch/Fleet/peer_table.h"
 #include "cuminswitch/Fleet/upstream_directory.h"
 #include "cuminswitch/Log/event_log.h"
 #include "cuminswitch/Protocol/shard_directory.h"
--- a/unittests/Routing/prompt_kinds_test.cc
+++ b/unittests/Routing/prompt_length_classifier_test.cc
@@ -1,5 +1,5 @@
 // Which prompts are long, and how many engines are kept for the short ones.
-#include "cuminswitch/Routing/prompt_kinds.h"
+#include "cuminswitch/Routing/prompt_length_classifier.h"
 
 #include <gtest/gtest.h>
 
--- a/unittests/StreamPauses/stream_pauses_test.cc
+++ b/unittests/StreamPauses/stream_pauses_test.cc
@@ -23,7 +23,7 @@
 #include "cuminswitch/Routing/placement_query.h"
 #include "cuminswitch/Routing/prefix_cost_policy.h"
 #include "cuminswitch/Routing/prefix_index.h"
-#include "cuminswitch/Routing/prompt_kinds.h"
+#include "cuminswitch/Routing/prompt_length_classifier.h"
 #include "cuminswitch/Routing/replica_table.h"
 
 namespace cuminswitch {
