--- a/include/cuminswitch/Admission/even_quota_policy.h
+++ b/include/cuminswitch/Admission/even_quota_policy.h
@@ -32,8 +32,7 @@
   void Admit(time_point now, const quota_request& item) override;
   void Charge(time_point now, const quota_request& item) override;
   void OnQuery(time_point /*now*/, const quota_query& /*ask*/) override {}
-  void OnReply(time_point /*now*/,
-                 const quota_reply& /*verdict*/) override {}
+  void OnReply(time_point /*now*/, const quota_reply& /*verdict*/) override {}
   void OnTick(time_point now) override;
 
  private:
--- a/include/cuminswitch/Admission/owner_quota_policy.h
+++ b/include/cuminswitch/Admission/owner_quota_policy.h
@@ -117,8 +117,8 @@
   quota_query MakeAsk(time_point now, const quota_request& item) const;
   /// Reports \p weight units of \p item's subject, and asks nothing.
   quota_query MakeReport(time_point now,
-                       const quota_request& item,
-                       double weight) const;
+                         const quota_request& item,
+                         double weight) const;
   void Send(time_point now, pending asked);
   void DecideHere(time_point now, const quota_request& item);
   /// Nobody answers.
--- a/include/cuminswitch/Admission/upstream_limits.h
+++ b/include/cuminswitch/Admission/upstream_limits.h
@@ -56,7 +56,7 @@
   /// What this daemon heard itself and, where \p passes_on, what peers told it,
   /// the latest change first; bounded.
   std::vector<limit_update> ListUpdates(time_point now,
-                                   bool passes_on = false) const;
+                                        bool passes_on = false) const;
   /// Limits in force.
   size_t size() const;
 
--- a/include/cuminswitch/Edge/arrival_translator.h
+++ b/include/cuminswitch/Edge/arrival_translator.h
@@ -24,10 +24,11 @@
 request_arrived DescribeArrival(const request_flow::options& flow,
                                 const workspace_config* workspace);
 /// Describes the request of \p flow, whose workspace has \p quota.
-quota_admission::admission_query DescribeQuotaQuestion(time_point now,
-                                           const request_flow& flow,
-                                           const quota_config& quota,
-                                           request_arrived arrival);
+quota_admission::admission_query DescribeQuotaQuestion(
+    time_point now,
+    const request_flow& flow,
+    const quota_config& quota,
+    request_arrived arrival);
 
 }  // namespace cuminswitch
 
--- a/include/cuminswitch/Edge/attempt_disposition.h
+++ b/include/cuminswitch/Edge/attempt_disposition.h
@@ -60,8 +60,8 @@
 /// Judges an attempt. \p may_repeat says that the request may run again, for a
 /// stream that it may go on elsewhere after its last event.
 attempt_disposition ClassifyAttempt(attempt_result answer,
-                             response_progress progress,
-                             bool may_repeat);
+                                    response_progress progress,
+                                    bool may_repeat);
 
 }  // namespace cuminswitch
 
--- a/include/cuminswitch/Edge/edge_metrics.h
+++ b/include/cuminswitch/Edge/edge_metrics.h
@@ -9,8 +9,8 @@
 #include <string_view>
 
 #include "cuminswitch/Core/core_status.h"
-#include "cuminswitch/Edge/upstream_limit_admission.h"
 #include "cuminswitch/Edge/quota_admission.h"
+#include "cuminswitch/Edge/upstream_limit_admission.h"
 #include "cuminswitch/Metrics/latency_histogram.h"
 #include "cuminswitch/Support/outcome.h"
 
--- a/include/cuminswitch/Edge/edge_task.h
+++ b/include/cuminswitch/Edge/edge_task.h
@@ -16,9 +16,9 @@
 #include "cuminswitch/Edge/edge_metrics.h"
 #include "cuminswitch/Edge/edge_protocol.h"
 #include "cuminswitch/Edge/graceful_stop.h"
-#include "cuminswitch/Edge/upstream_limit_admission.h"
 #include "cuminswitch/Edge/quota_admission.h"
 #include "cuminswitch/Edge/request_flow.h"
+#include "cuminswitch/Edge/upstream_limit_admission.h"
 #include "cuminswitch/Edge/weights_version_counter.h"
 #include "cuminswitch/Fleet/fleet_message.h"
 #include "cuminswitch/Http1/caller_server.h"
@@ -85,7 +85,7 @@
   void OnRequest(caller_exchange& exchange) override;
   void OnFlowEvent(core_event event) override;
   void OnFlowFeedback(const request_flow& flow,
-                     const upstream_feedback& notices) override;
+                      const upstream_feedback& notices) override;
   void OnFlowAttemptFailed(const request_flow& flow,
                            attempt_result answer,
                            uint32_t status) override;
@@ -152,7 +152,8 @@
   /// carries out what is decided.
   void SettleLimits(time_point now);
   void TakeLimitAsk(time_point now, quota_query ask);
-  void SettleLimit(time_point now, const upstream_limit_admission::permit_result& decided);
+  void SettleLimit(time_point now,
+                   const upstream_limit_admission::permit_result& decided);
   /// Lets the peers know what upstreams told this daemon.
   void TellLimits(time_point now);
   /// Lets the peers and the store know which requests crash upstreams.
--- a/include/cuminswitch/Edge/request_flow.h
+++ b/include/cuminswitch/Edge/request_flow.h
@@ -7,10 +7,10 @@
 #include <optional>
 #include <string>
 
-#include "cuminswitch/Edge/upstream_feedback.h"
 #include "cuminswitch/Edge/attempt_disposition.h"
 #include "cuminswitch/Edge/edge_protocol.h"
 #include "cuminswitch/Edge/event_splitter.h"
+#include "cuminswitch/Edge/upstream_feedback.h"
 #include "cuminswitch/Fleet/routing_config.h"
 #include "cuminswitch/Http1/caller_exchange.h"
 #include "cuminswitch/Http1/upstream_call.h"
@@ -45,7 +45,7 @@
   virtual void OnFlowEvent(core_event event) = 0;
   /// The upstream of the present attempt said something of itself.
   virtual void OnFlowFeedback(const request_flow& flow,
-                             const upstream_feedback& notices) = 0;
+                              const upstream_feedback& notices) = 0;
   /// An attempt ended otherwise than with success.
   virtual void OnFlowAttemptFailed(const request_flow& flow,
                                    attempt_result answer,
--- a/include/cuminswitch/Edge/upstream_feedback.h
+++ b/include/cuminswitch/Edge/upstream_feedback.h
@@ -25,7 +25,7 @@
 /// Chooses what counts of \p said, the head of an answer on the connection of
 /// the attempt \p attempt.
 upstream_feedback SelectFeedback(const response_attributes& said,
-                             std::string_view attempt);
+                                 std::string_view attempt);
 
 }  // namespace cuminswitch
 
--- a/include/cuminswitch/Fleet/engine_control.h
+++ b/include/cuminswitch/Fleet/engine_control.h
@@ -16,12 +16,13 @@
  public:
   virtual ~engine_control() = default;
   /// Asks for the engine's state; nothing when no answer could be had.
-  virtual void QueryState(const rollout_step& step,
-                   std::function<void(std::optional<engine_report>)> done) = 0;
+  virtual void QueryState(
+      const rollout_step& step,
+      std::function<void(std::optional<engine_report>)> done) = 0;
   /// Gives the order under the leader's \p fence.
   virtual void SendCommand(const rollout_step& step,
-                     revision_number fence,
-                     std::function<void(command_result)> done) = 0;
+                           revision_number fence,
+                           std::function<void(command_result)> done) = 0;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Fleet/fleet_message.h
+++ b/include/cuminswitch/Fleet/fleet_message.h
@@ -96,15 +96,15 @@
   std::vector<std::string> upstreams;
 };
 using fleet_event = std::variant<fleet_snapshot_changed,
-                                upstreams_changed,
-                                peers_changed,
-                                weights_changing,
-                                items_staleness,
-                                peer_placements,
-                                peer_limits,
-                                peer_quarantine,
-                                quota_query,
-                                quota_reply>;
+                                 upstreams_changed,
+                                 peers_changed,
+                                 weights_changing,
+                                 items_staleness,
+                                 peer_placements,
+                                 peer_limits,
+                                 peer_quarantine,
+                                 quota_query,
+                                 quota_reply>;
 
 /// The names of the services, for the kernel's registry.
 inline constexpr std::string_view kFleetService = "fleet";
--- a/include/cuminswitch/Fleet/item_watcher.h
+++ b/include/cuminswitch/Fleet/item_watcher.h
@@ -34,9 +34,9 @@
   };
 
   item_watcher(event_base* base,
-            item_store& store,
-            event_log& log,
-            handlers calls);
+               item_store& store,
+               event_log& log,
+               handlers calls);
   ~item_watcher();
 
   void Start();
--- a/include/cuminswitch/Fleet/peer_table.h
+++ b/include/cuminswitch/Fleet/peer_table.h
@@ -89,7 +89,7 @@
   }
   /// Returns the news of members for a beat to \p address.
   std::vector<member_update> TakeMemberUpdates(time_point now,
-                                          const endpoint& address);
+                                               const endpoint& address);
   /// Returns the names of the peers that came under suspicion since the last
   /// call.
   std::vector<std::string> TakeSuspected() {
--- a/include/cuminswitch/Fleet/weights_rollout.h
+++ b/include/cuminswitch/Fleet/weights_rollout.h
@@ -75,7 +75,9 @@
       time_point now,
       const std::string& upstream,
       const std::optional<engine_report>& report);
-  void OnCommandResult(time_point now, const std::string& upstream, command_result end);
+  void OnCommandResult(time_point now,
+                       const std::string& upstream,
+                       command_result end);
   /// Upstreams that should get no requests for the moment.
   std::vector<std::string> ListChanging() const;
   /// The lead is lost; nothing is under way any more.
--- a/include/cuminswitch/Once/shard_journal.h
+++ b/include/cuminswitch/Once/shard_journal.h
@@ -123,9 +123,7 @@
             action_list& out);
   void OnClaimRead(const platform_reply& answer, action_list& out);
   void OnClaimWrite(const platform_reply& answer, action_list& out);
-  void OnCommit(time_point now,
-                const platform_reply& answer,
-                action_list& out);
+  void OnCommit(time_point now, const platform_reply& answer, action_list& out);
   void OnReadBack(time_point now,
                   const platform_reply& answer,
                   action_list& out);
--- a/include/cuminswitch/Platform/blocking_platform.h
+++ b/include/cuminswitch/Platform/blocking_platform.h
@@ -15,8 +15,8 @@
   virtual ~platform_store() = default;
   virtual platform_reply Read(const std::string& key) = 0;
   virtual platform_reply CompareAndSwap(const std::string& key,
-                                         const std::string& value,
-                                         revision_number expected) = 0;
+                                        const std::string& value,
+                                        revision_number expected) = 0;
 };
 
 /// Makes each call on a loop of its own.
@@ -27,8 +27,8 @@
 
   platform_reply Read(const std::string& key) override;
   platform_reply CompareAndSwap(const std::string& key,
-                                 const std::string& value,
-                                 revision_number expected) override;
+                                const std::string& value,
+                                revision_number expected) override;
 
  private:
   platform_reply Call(const platform_call& call);
--- a/include/cuminswitch/Protocol/expected_wait.h
+++ b/include/cuminswitch/Protocol/expected_wait.h
@@ -32,7 +32,9 @@
   duration target{0};
 
   /// From now to the first byte.
-  duration Remaining() const { return local_queue + capacity + upstream_queue + prefill + prediction_error; }
+  duration Remaining() const {
+    return local_queue + capacity + upstream_queue + prefill + prediction_error;
+  }
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Routing/replica.h
+++ b/include/cuminswitch/Routing/replica.h
@@ -80,7 +80,9 @@
   time_point warm_since{};
 
   /// By its own word it takes no request of this daemon before this.
-  time_point ClosedUntil() const { return std::max(limited_until, backoff_until); }
+  time_point ClosedUntil() const {
+    return std::max(limited_until, backoff_until);
+  }
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Routing/replica_table.h
+++ b/include/cuminswitch/Routing/replica_table.h
@@ -123,13 +123,13 @@
   duration MeanFirstByte(std::string_view target) const;
   /// Learns by how much a first byte from \p target came later than expected.
   void LearnPredictionError(time_point now,
-                   std::string_view target,
-                   priority_class priority,
-                   duration excess);
+                            std::string_view target,
+                            priority_class priority,
+                            duration excess);
   /// By how much requests to \p target wait longer than expected of late.
   duration MeanPredictionError(time_point now,
-                       std::string_view target,
-                       priority_class priority) const;
+                               std::string_view target,
+                               priority_class priority) const;
   /// Learns how many tokens a request made the replica compute.
   void LearnComputed(replica_index index, double tokens);
   /// Learns the prefill rate from an attempt that did not queue. Replicas that
@@ -146,7 +146,7 @@
   /// Returns the replica of \p target that is \p prefix's first home, whether
   /// or not it can serve now.
   std::optional<replica_index> PreferredReplica(std::string_view target,
-                                      uint64_t prefix) const;
+                                                uint64_t prefix) const;
 
   /// Counts the replicas of \p target and what they run at once.
   engine_slots CountSlots(std::string_view target) const;
--- a/include/cuminswitch/Routing/target_estimate.h
+++ b/include/cuminswitch/Routing/target_estimate.h
@@ -30,7 +30,9 @@
 
   /// Learns that a first byte came \p excess later than expected; negative for
   /// earlier.
-  void LearnPredictionError(time_point now, priority_class priority, duration excess);
+  void LearnPredictionError(time_point now,
+                            priority_class priority,
+                            duration excess);
   /// By how much first bytes come later than expected of late. What a daemon
   /// and its peers know of an engine's work lags, and leaves out what the
   /// engine does beside reading prompts. An expectation that is not corrected
--- a/lib/Admission/owner_quota_policy.cc
+++ b/lib/Admission/owner_quota_policy.cc
@@ -158,28 +158,28 @@
 }
 
 quota_query owner_quota_policy::MakeAsk(time_point now,
-                                      const quota_request& item) const {
+                                        const quota_request& item) const {
   quota_query ask{.from = self_.address,
-                .ticket = item.ticket,
-                .kind = kind_,
-                .subject = item.subject,
-                .limit = item.limit,
-                .limit_age = item.limit_age,
-                .weight = item.weight,
-                .digest = item.digest,
-                .max_wait = item.max_wait,
-                .last_level = std::nullopt};
+                  .ticket = item.ticket,
+                  .kind = kind_,
+                  .subject = item.subject,
+                  .limit = item.limit,
+                  .limit_age = item.limit_age,
+                  .weight = item.weight,
+                  .digest = item.digest,
+                  .max_wait = item.max_wait,
+                  .last_level = std::nullopt};
   if (const auto told = told_.find(item.subject); told != told_.end()) {
     ask.last_level = quota_level{.owner = told->second.owner,
-                           .level = told->second.level,
-                           .age = now - told->second.at};
+                                 .level = told->second.level,
+                                 .age = now - told->second.at};
   }
   return ask;
 }
 
 quota_query owner_quota_policy::MakeReport(time_point now,
-                                         const quota_request& item,
-                                         double weight) const {
+                                           const quota_request& item,
+                                           double weight) const {
   quota_query report = MakeAsk(now, item);
   report.ticket = 0;
   report.weight = weight;
@@ -299,8 +299,7 @@
   }
 }
 
-void owner_quota_policy::OnReply(time_point now,
-                                   const quota_reply& verdict) {
+void owner_quota_policy::OnReply(time_point now, const quota_reply& verdict) {
   const auto found = pending_.find(verdict.ticket);
   if (found == pending_.end()) {
     // Its request was decided without it.
--- a/lib/Admission/quota_owner.cc
+++ b/lib/Admission/quota_owner.cc
@@ -24,9 +24,9 @@
   }
   const double start =
       ask.last_level ? ask.limit.burst * share
-               : std::min(ask.limit.burst,
-                          ask.limit.rate * ToSeconds(kUnknownPast)) *
-                     share;
+                     : std::min(ask.limit.burst,
+                                ask.limit.rate * ToSeconds(kUnknownPast)) *
+                           share;
   return owned_
       .emplace(ask.subject, owned_quota{.bucket = quota_bucket(now, start),
                                         .limit = ask.limit,
@@ -49,8 +49,9 @@
   if (ask.last_level && ask.last_level->owner != id_) {
     quota.other_at = std::max(quota.other_at, now - ask.last_level->age);
     // What the owner before had left, and what came since at most.
-    bucket.LowerTo(now, ask.last_level->level + quota.limit.rate * share *
-                                              ToSeconds(ask.last_level->age));
+    bucket.LowerTo(
+        now, ask.last_level->level +
+                 quota.limit.rate * share * ToSeconds(ask.last_level->age));
   }
   quota_reply verdict{
       .kind = ask.kind, .ticket = ask.ticket, .owner = id_, .share = share};
--- a/lib/Admission/request_quarantine.cc
+++ b/lib/Admission/request_quarantine.cc
@@ -199,7 +199,8 @@
   Complete(now, request, sent, crash_source::kOwn);
 }
 
-void request_quarantine::OnUpdate(time_point now, const quarantine_update& news) {
+void request_quarantine::OnUpdate(time_point now,
+                                  const quarantine_update& news) {
   for (const crash_report& item : news.crashes) {
     if (item.age < kTellTime) {
       Add(now, item.request,
@@ -300,7 +301,8 @@
   return news;
 }
 
-std::vector<crash_report> request_quarantine::ListActiveCrashes(time_point now) const {
+std::vector<crash_report> request_quarantine::ListActiveCrashes(
+    time_point now) const {
   std::vector<crash_report> standing;
   for (const hash128& request : quarantined_) {
     if (!TimeLeft(now, request)) {
--- a/lib/Admission/upstream_limits.cc
+++ b/lib/Admission/upstream_limits.cc
@@ -82,7 +82,7 @@
 }
 
 upstream_limits::change upstream_limits::OnUpdate(time_point now,
-                                                const limit_update& news) {
+                                                  const limit_update& news) {
   const statement told{.upstream = news.upstream, .at = now - news.age};
   return news.has_ended ? End(now, told) : Name(now, told, news.rate);
 }
@@ -130,15 +130,15 @@
 }
 
 std::vector<limit_update> upstream_limits::ListUpdates(time_point now,
-                                                  bool passes_on) const {
+                                                       bool passes_on) const {
   std::vector<std::pair<time_point, limit_update>> all;
   for (const auto& [upstream, known] : known_) {
     if (known.is_first_hand || passes_on) {
       all.emplace_back(known.changed_at,
                        limit_update{.upstream = upstream,
-                                  .rate = known.rate,
-                                  .has_ended = known.has_ended,
-                                  .age = now - known.told_at});
+                                    .rate = known.rate,
+                                    .has_ended = known.has_ended,
+                                    .age = now - known.told_at});
     }
   }
   std::sort(all.begin(), all.end(), [](const auto& a, const auto& b) {
--- a/lib/Core/request_attempts.cc
+++ b/lib/Core/request_attempts.cc
@@ -156,7 +156,8 @@
     replicas_.LearnFirstByte(running.index, took);
   } else {
     const duration excess = took - running.expected_wait;
-    replicas_.LearnPredictionError(now, item.info.target, PriorityOf(item), excess);
+    replicas_.LearnPredictionError(now, item.info.target, PriorityOf(item),
+                                   excess);
     copy_budget_.OnFirstByte(running.copied_from_store, excess);
   }
   // Of the whole prompt: that a prefix was not cached after all says nothing
--- a/lib/Core/request_notices.cc
+++ b/lib/Core/request_notices.cc
@@ -29,8 +29,8 @@
 }
 
 void request_router::OnBackoffRequested(time_point now,
-                                 attempt_id attempt,
-                                 duration time) {
+                                        attempt_id attempt,
+                                        duration time) {
   if (replica* item = FindReplica(attempt)) {
     item->backoff_until = std::max(item->backoff_until, now + time);
   }
--- a/lib/Core/request_refusals.cc
+++ b/lib/Core/request_refusals.cc
@@ -57,20 +57,22 @@
   const double computing =
       (item.info.prompt_tokens - chosen.expected_cached_tokens) /
       replicas_[chosen.index].prefill_rate;
-  expected_wait wait{
-      .upstream = {},
-      .waited = now - ArrivedAt(item),
-      .local_queue = FromSeconds(ahead),
-      .capacity = FromSeconds(room),
-      .upstream_queue = FromSeconds(replicas_.EstimateQueueSeconds(now, chosen.index)),
-      .prefill = FromSeconds(computing),
-      .prediction_error = replicas_.MeanPredictionError(now, item.info.target, PriorityOf(item)),
-      .target = item.info.target_latency};
-  const shedding_query question{.waited = wait.waited,
-                               .expected = wait.Remaining(),
-                               .target = item.info.target_latency,
-                               .caller_idle_timeout = item.info.caller_idle_timeout,
-                               .priority = PriorityOf(item)};
+  expected_wait wait{.upstream = {},
+                     .waited = now - ArrivedAt(item),
+                     .local_queue = FromSeconds(ahead),
+                     .capacity = FromSeconds(room),
+                     .upstream_queue = FromSeconds(
+                         replicas_.EstimateQueueSeconds(now, chosen.index)),
+                     .prefill = FromSeconds(computing),
+                     .prediction_error = replicas_.MeanPredictionError(
+                         now, item.info.target, PriorityOf(item)),
+                     .target = item.info.target_latency};
+  const shedding_query question{
+      .waited = wait.waited,
+      .expected = wait.Remaining(),
+      .target = item.info.target_latency,
+      .caller_idle_timeout = item.info.caller_idle_timeout,
+      .priority = PriorityOf(item)};
   if (LuckOf(item) >= RefusalChance(question)) {
     return false;
   }
--- a/lib/Core/request_router.cc
+++ b/lib/Core/request_router.cc
@@ -268,7 +268,8 @@
   }
   // Requests without a prompt go to services, which are of no kind.
   if (item.info.prompt_tokens > 0) {
-    short_share_ = kinds_.ShortShare(now, replicas_.CountSlots(item.info.target));
+    short_share_ =
+        kinds_.ShortShare(now, replicas_.CountSlots(item.info.target));
   }
   const placement chosen =
       policy_->Choose({.now = now,
--- a/lib/Edge/arrival_translator.cc
+++ b/lib/Edge/arrival_translator.cc
@@ -79,10 +79,11 @@
   return arrival;
 }
 
-quota_admission::admission_query DescribeQuotaQuestion(time_point now,
-                                           const request_flow& flow,
-                                           const quota_config& quota,
-                                           request_arrived arrival) {
+quota_admission::admission_query DescribeQuotaQuestion(
+    time_point now,
+    const request_flow& flow,
+    const quota_config& quota,
+    request_arrived arrival) {
   const caller_request& request = flow.request();
   // A caller's repeat has another name, and is the same in all the rest.
   uint64_t digest = Hash64(request.path, Hash64(request.credential));
--- a/lib/Edge/attempt_disposition.cc
+++ b/lib/Edge/attempt_disposition.cc
@@ -25,8 +25,8 @@
 }
 
 attempt_disposition ClassifyAttempt(attempt_result answer,
-                             response_progress progress,
-                             bool may_repeat) {
+                                    response_progress progress,
+                                    bool may_repeat) {
   const bool has_begun = progress == response_progress::kBegun;
   switch (answer) {
     case attempt_result::kSuccess:
@@ -44,14 +44,12 @@
     case attempt_result::kRefused:
     case attempt_result::kMismatch:
     case attempt_result::kNotConnected:
-      return {.result = outcome::kNotRun,
-              .action = attempt_action::kRetry};
+      return {.result = outcome::kNotRun, .action = attempt_action::kRetry};
     case attempt_result::kBroken:
     case attempt_result::kStalled:
     case attempt_result::kUnrelated:
       if (may_repeat) {
-        return {.result = outcome::kUnknown,
-                .action = attempt_action::kRetry};
+        return {.result = outcome::kUnknown, .action = attempt_action::kRetry};
       }
       return {.result = outcome::kUnknown,
               .action = has_begun ? attempt_action::kAbort
--- a/lib/Edge/edge_knowledge.cc
+++ b/lib/Edge/edge_knowledge.cc
@@ -69,7 +69,8 @@
 
 void edge_task::ApplyPlan(time_point now, action_list& actions) {
   if (knowledge_ != nullptr && knowledge_->plan != nullptr) {
-    router_.OnPlan(now, TranslateRoutingConfig(*knowledge_, held_weights_), actions);
+    router_.OnPlan(now, TranslateRoutingConfig(*knowledge_, held_weights_),
+                   actions);
   }
 }
 
--- a/lib/Edge/edge_limits.cc
+++ b/lib/Edge/edge_limits.cc
@@ -57,7 +57,8 @@
 }
 
 void edge_task::TellLimits(time_point now) {
-  std::vector<limit_update> news = router_.limits().ListUpdates(now, passes_on_);
+  std::vector<limit_update> news =
+      router_.limits().ListUpdates(now, passes_on_);
   // Once more when there are none left, so that no old ones are told.
   if (!news.empty() || told_limits_) {
     told_limits_ = !news.empty();
@@ -88,13 +89,15 @@
     limits_.Ask(now, question);
   }
   SendQuotaMessages(limits_.policy());
-  for (const upstream_limit_admission::permit_result& decided : limits_.TakeDecided()) {
+  for (const upstream_limit_admission::permit_result& decided :
+       limits_.TakeDecided()) {
     SettleLimit(now, decided);
   }
 }
 
-void edge_task::SettleLimit(time_point now,
-                            const upstream_limit_admission::permit_result& decided) {
+void edge_task::SettleLimit(
+    time_point now,
+    const upstream_limit_admission::permit_result& decided) {
   const request_flow* flow = FindFlow(decided.request.request);
   if (flow != nullptr) {
     with_.log.Write(
--- a/lib/Edge/edge_metrics.cc
+++ b/lib/Edge/edge_metrics.cc
@@ -144,8 +144,7 @@
   page.Begin("cuminswitch_limit_decisions_total", "counter",
              "Requests for upstreams that name a limit, by what was decided.");
   page.Add(static_cast<double>(from.limits.granted), "decision=\"granted\"");
-  page.Add(static_cast<double>(from.limits.denied),
-           "decision=\"turned_away\"");
+  page.Add(static_cast<double>(from.limits.denied), "decision=\"turned_away\"");
   page.Add(static_cast<double>(from.limits.unused), "decision=\"unused\"");
   WriteQuotas(page, from.quotas);
   page.Begin("cuminswitch_shared_prefix_tokens_total", "counter",
--- a/lib/Edge/edge_notices.cc
+++ b/lib/Edge/edge_notices.cc
@@ -14,7 +14,7 @@
 }
 
 void edge_task::OnFlowFeedback(const request_flow& flow,
-                              const upstream_feedback& notices) {
+                               const upstream_feedback& notices) {
   if (notices.load) {
     router_.OnUpstreamLoad(ReadBootClock(), {.upstream = flow.upstream(),
                                              .running = notices.load->running,
@@ -46,7 +46,8 @@
            upstream, "answer");
 }
 
-void edge_task::TakeRest(const request_flow& flow, const backoff_notice& notice) {
+void edge_task::TakeRest(const request_flow& flow,
+                         const backoff_notice& notice) {
   if (notice.kind == notice_kind::kUnreadable) {
     with_.log.Write(log_class::kBelief,
                     DescribeNotice("rest_unreadable", flow));
--- a/lib/Edge/request_flow.cc
+++ b/lib/Edge/request_flow.cc
@@ -248,7 +248,8 @@
   // The call is on the stack; it is destroyed with the next one or the flow.
   const std::unique_ptr<upstream_call> ended = std::move(call_);
   stall_timer_.Cancel();
-  if (end == upstream_call_result::kBroken || end == upstream_call_result::kNotConnected) {
+  if (end == upstream_call_result::kBroken ||
+      end == upstream_call_result::kNotConnected) {
     with_.owner.OnConnectionLost(address_);
   }
   Judge(Classify(end));
--- a/lib/Edge/request_log.cc
+++ b/lib/Edge/request_log.cc
@@ -108,9 +108,10 @@
   return line;
 }
 
-log_line DescribePermit(const request_flow& flow,
-                        std::string_view upstream,
-                        const upstream_limit_admission::permit_result& decided) {
+log_line DescribePermit(
+    const request_flow& flow,
+    std::string_view upstream,
+    const upstream_limit_admission::permit_result& decided) {
   const quota_decision& decision = decided.decision;
   log_line line(decision.is_admitted ? "limit_granted" : "limit_turned_away");
   line.Add("id", flow.request().attempt)
--- a/lib/Edge/upstream_feedback.cc
+++ b/lib/Edge/upstream_feedback.cc
@@ -3,7 +3,7 @@
 namespace cuminswitch {
 
 upstream_feedback SelectFeedback(const response_attributes& said,
-                             std::string_view attempt) {
+                                 std::string_view attempt) {
   upstream_feedback notices{
       .load = said.load, .limit = std::nullopt, .backoff = std::nullopt};
   // A late answer to another attempt says nothing of this upstream.
--- a/lib/Edge/upstream_limit_admission.cc
+++ b/lib/Edge/upstream_limit_admission.cc
@@ -14,14 +14,16 @@
           .retry_after = decision.retry_after};
 }
 
-quota_request upstream_limit_admission::MakeRequest(uint64_t upstream, double rate) const {
+quota_request upstream_limit_admission::MakeRequest(uint64_t upstream,
+                                                    double rate) const {
   return {.subject = upstream,
           .limit = QuotaOfLimit(rate),
           .weight = 1,
           .digest = turn_};
 }
 
-void upstream_limit_admission::Ask(time_point now, const permit_request& question) {
+void upstream_limit_admission::Ask(time_point now,
+                                   const permit_request& question) {
   quota_request item = MakeRequest(question.upstream, question.rate);
   item.ticket = ++next_ticket_;
   item.limit_age = question.limit_age;
@@ -32,14 +34,16 @@
   policy_->Admit(now, item);
 }
 
-void upstream_limit_admission::Return(time_point now, const permit_return& unused) {
+void upstream_limit_admission::Return(time_point now,
+                                      const permit_return& unused) {
   ++totals_.unused;
   quota_request item = MakeRequest(unused.upstream, unused.rate);
   item.weight = -1;
   policy_->Charge(now, item);
 }
 
-std::vector<upstream_limit_admission::permit_result> upstream_limit_admission::TakeDecided() {
+std::vector<upstream_limit_admission::permit_result>
+upstream_limit_admission::TakeDecided() {
   std::vector<permit_result> list;
   for (const quota_decision& decision : policy_->TakeDecisions()) {
     const auto found = waiting_.find(decision.ticket);
--- a/lib/Fleet/crash_update_queue.cc
+++ b/lib/Fleet/crash_update_queue.cc
@@ -28,8 +28,8 @@
 }
 
 bool crash_update_queue::NoteRelayed(const hash128& request,
-                                 uint64_t upstream,
-                                 time_point at) {
+                                     uint64_t upstream,
+                                     time_point at) {
   if (relayed_.size() >= kMostRelayed) {
     const time_point newest =
         std::max_element(
@@ -69,7 +69,8 @@
   completions_.Add(completions);
 }
 
-quarantine_update crash_update_queue::TakeFor(time_point now, const endpoint& peer) {
+quarantine_update crash_update_queue::TakeFor(time_point now,
+                                              const endpoint& peer) {
   quarantine_update news;
   for (dated<crash_report>& item : crashes_.TakeFor(peer)) {
     item.news.age += now - item.at;
--- a/lib/Fleet/fleet_task.cc
+++ b/lib/Fleet/fleet_task.cc
@@ -169,8 +169,9 @@
   const bool awaits_list = beat.sender.revision == 0;
   // It has just started, and learns from this who has the items; or it learns
   // that others take it for gone.
-  const bool wants_answer = (awaits_list && feed_.view().HasRead()) ||
-                            roster_.MustNotifySuspected(beat.sender.peer_address);
+  const bool wants_answer =
+      (awaits_list && feed_.view().HasRead()) ||
+      roster_.MustNotifySuspected(beat.sender.peer_address);
   if (wants_answer && roster_.TryReserveReply(now, beat.sender.peer_address)) {
     SendBeat(beat.sender.peer_address);
   }
@@ -208,16 +209,16 @@
   self.has_store = feed_.IsFresh(now, kStoreFresh);
   self.recovery = lapsed_.Recovery(now);
   heartbeat_frame beat{.sender = self,
-                  .recent_peers = roster_.SampleAlive(now),
-                  .changing = {},
-                  .backlogs = own_backlogs_,
-                  .prefixes = placement_news_.TakeFor(to),
-                  .mix = own_mix_,
-                  .limits = own_limits_.limits,
-                  .quarantine = crash_bulletin_.TakeFor(now, to),
-                  .is_watched = roster_.IsWatcher(to),
-                  .members = roster_.TakeMemberUpdates(now, to),
-                  .freshness = staleness_.MostRecent(now)};
+                       .recent_peers = roster_.SampleAlive(now),
+                       .changing = {},
+                       .backlogs = own_backlogs_,
+                       .prefixes = placement_news_.TakeFor(to),
+                       .mix = own_mix_,
+                       .limits = own_limits_.limits,
+                       .quarantine = crash_bulletin_.TakeFor(now, to),
+                       .is_watched = roster_.IsWatcher(to),
+                       .members = roster_.TakeMemberUpdates(now, to),
+                       .freshness = staleness_.MostRecent(now)};
   for (limit_update& item : beat.limits) {
     item.age += now - own_limits_.at;
   }
@@ -322,12 +323,13 @@
 }
 
 void fleet_task::DecideFollowing(time_point now) {
-  feed_.SetFollowing(duty_.ShouldFollow(now, {.self = options_.self,
-                                        .alive = published_peers_,
-                                        .staleness = staleness_,
-                                        .answered_at = feed_.answered_at(),
-                                        .failed_at = feed_.failed_at(),
-                                        .known = roster_.CountKnown()}));
+  feed_.SetFollowing(
+      duty_.ShouldFollow(now, {.self = options_.self,
+                               .alive = published_peers_,
+                               .staleness = staleness_,
+                               .answered_at = feed_.answered_at(),
+                               .failed_at = feed_.failed_at(),
+                               .known = roster_.CountKnown()}));
 }
 
 void fleet_task::RunRollout(time_point now) {
@@ -367,16 +369,17 @@
 
 void fleet_task::Perform(const rollout_step& step) {
   if (!step.command) {
-    with_.engines.QueryState(step,
-                      [this, step](const std::optional<engine_report>& report) {
-                        OnEngineReport(step, report);
-                      });
+    with_.engines.QueryState(
+        step, [this, step](const std::optional<engine_report>& report) {
+          OnEngineReport(step, report);
+        });
     return;
   }
   // Between the decision and here the host may have been suspended; an order
   // that leaves after the lease has ended meets those of the next leader.
   if (!election_.MaySendCommand(ReadBootClock())) {
-    rollout_.OnCommandResult(ReadBootClock(), step.upstream, command_result::kConflict);
+    rollout_.OnCommandResult(ReadBootClock(), step.upstream,
+                             command_result::kConflict);
     return;
   }
   with_.log.Write(log_class::kBelief,
@@ -386,12 +389,13 @@
                       .Add("version", step.command->weights.version)
                       .Add("accepted_orders", step.command->accepted_orders)
                       .Add("fence", election_.fence()));
-  with_.engines.SendCommand(step, election_.fence(), [this, step](command_result end) {
-    with_.log.Write(log_class::kBelief, log_line("order_ended")
-                                            .Add("upstream", step.upstream)
-                                            .Add("end", ToString(end)));
-    rollout_.OnCommandResult(ReadBootClock(), step.upstream, end);
-  });
+  with_.engines.SendCommand(
+      step, election_.fence(), [this, step](command_result end) {
+        with_.log.Write(log_class::kBelief, log_line("order_ended")
+                                                .Add("upstream", step.upstream)
+                                                .Add("end", ToString(end)));
+        rollout_.OnCommandResult(ReadBootClock(), step.upstream, end);
+      });
 }
 
 void fleet_task::OnEngineReport(const rollout_step& step,
--- a/lib/Fleet/item_watcher.cc
+++ b/lib/Fleet/item_watcher.cc
@@ -24,9 +24,9 @@
 static constexpr duration kLongestRetry = std::chrono::milliseconds(800);
 
 item_watcher::item_watcher(event_base* base,
-                     item_store& store,
-                     event_log& log,
-                     handlers calls)
+                           item_store& store,
+                           event_log& log,
+                           handlers calls)
     : store_(store),
       log_(log),
       handlers_(std::move(calls)),
@@ -135,7 +135,7 @@
 }
 
 void item_watcher::OnPeerItems(const items_reply_frame& reply,
-                            const peer_request& asked) {
+                               const peer_request& asked) {
   const revision_number before = view_.revision();
   const std::vector<std::string> changed =
       reply.is_complete ? view_.ApplyAll(reply.items, reply.revision)
--- a/lib/Fleet/peer_frame.cc
+++ b/lib/Fleet/peer_frame.cc
@@ -70,9 +70,9 @@
 /// Returns nothing for a member that is not described whole.
 static std::optional<member_update> ReadMember(const fleet_wire::member& wire) {
   member_update news{.record = {.name = wire.daemon()->str(),
-                              .incarnation = wire.incarnation(),
-                              .version = wire.version()},
-                   .is_suspected = wire.is_suspected()};
+                                .incarnation = wire.incarnation(),
+                                .version = wire.version()},
+                     .is_suspected = wire.is_suspected()};
   if (news.is_suspected) {
     return news;
   }
@@ -133,8 +133,8 @@
                  .is_leaving = wire.is_leaving(),
                  .has_store = wire.has_store(),
                  .recovery = {.event = wire.awaited_return(),
-                            .left = duration(wire.awaited_for_us()),
-                            .revision = wire.awaited_up_to()},
+                              .left = duration(wire.awaited_for_us()),
+                              .revision = wire.awaited_up_to()},
                  .revision = wire.revision()},
       .recent_peers = {},
       .changing = ReadTexts(wire.changing()),
@@ -188,7 +188,7 @@
       return std::nullopt;
     }
     frame.freshness = {.daemon_hash = wire.store_witness(),
-                      .age = duration(wire.store_answer_age_us())};
+                       .age = duration(wire.store_answer_age_us())};
   }
   if (!ReadQuarantineNews(wire, frame.quarantine) ||
       !ReadMembers(wire, frame)) {
@@ -261,26 +261,26 @@
     return std::nullopt;
   }
   quota_query ask{.from = *from,
-                .ticket = wire.ticket(),
-                .kind = wire.is_upstream() ? quota_kind::kUpstream
-                                           : quota_kind::kWorkspace,
-                .subject = wire.subject(),
-                .limit = {.rate = wire.rate(),
-                          .burst = wire.burst(),
-                          .version = wire.version()},
-                .limit_age = duration(wire.limit_age_us()),
-                .weight = wire.weight(),
-                .digest = wire.digest(),
-                .max_wait = duration(wire.patience_us()),
-                .is_final = wire.is_final(),
-                .last_level = std::nullopt};
+                  .ticket = wire.ticket(),
+                  .kind = wire.is_upstream() ? quota_kind::kUpstream
+                                             : quota_kind::kWorkspace,
+                  .subject = wire.subject(),
+                  .limit = {.rate = wire.rate(),
+                            .burst = wire.burst(),
+                            .version = wire.version()},
+                  .limit_age = duration(wire.limit_age_us()),
+                  .weight = wire.weight(),
+                  .digest = wire.digest(),
+                  .max_wait = duration(wire.patience_us()),
+                  .is_final = wire.is_final(),
+                  .last_level = std::nullopt};
   if (const fleet_wire::quota_level* told = wire.told()) {
     if (!AreFinite({told->level()}) || told->age_us() < 0) {
       return std::nullopt;
     }
     ask.last_level = quota_level{.owner = told->owner(),
-                           .level = told->level(),
-                           .age = duration(told->age_us())};
+                                 .level = told->level(),
+                                 .age = duration(told->age_us())};
   }
   return ask;
 }
@@ -292,13 +292,13 @@
     return std::nullopt;
   }
   return quota_reply{.kind = wire.is_upstream() ? quota_kind::kUpstream
-                                                  : quota_kind::kWorkspace,
-                       .ticket = body.ticket(),
-                       .is_admitted = body.is_admitted(),
-                       .retry_after = duration(body.retry_after_us()),
-                       .owner = body.owner(),
-                       .level = body.level(),
-                       .share = body.share()};
+                                                : quota_kind::kWorkspace,
+                     .ticket = body.ticket(),
+                     .is_admitted = body.is_admitted(),
+                     .retry_after = duration(body.retry_after_us()),
+                     .owner = body.owner(),
+                     .level = body.level(),
+                     .share = body.share()};
 }
 
 std::optional<peer_frame> DecodePeerFrame(std::span<const uint8_t> bytes) {
--- a/lib/Fleet/peer_frame_writer.cc
+++ b/lib/Fleet/peer_frame_writer.cc
@@ -83,7 +83,8 @@
         static_cast<float>(frame.mix.short_held),
         static_cast<float>(frame.mix.seconds), frame.mix.reserves_engines);
     const daemon_record& sender = frame.sender;
-    const freshness_record evidence = frame.freshness.value_or(freshness_record());
+    const freshness_record evidence =
+        frame.freshness.value_or(freshness_record());
     return fleet_wire::Createbeat(
                out_, out_.CreateString(sender.name), sender.incarnation,
                out_.CreateString(sender.peer_address.ToString()),
@@ -97,9 +98,10 @@
                out_.CreateVectorOfStructs(limits),
                out_.CreateVectorOfStructs(crashes),
                out_.CreateVectorOfStructs(completions), sender.version,
-               frame.is_watched, out_.CreateVector(members), evidence.daemon_hash,
-               evidence.age.count(), sender.recovery.event,
-               sender.recovery.left.count(), sender.recovery.revision)
+               frame.is_watched, out_.CreateVector(members),
+               evidence.daemon_hash, evidence.age.count(),
+               sender.recovery.event, sender.recovery.left.count(),
+               sender.recovery.revision)
         .Union();
   }
 
@@ -126,7 +128,8 @@
     type_ = fleet_wire::body_quota_ask;
     fleet_wire::quota_level told;
     if (ask.last_level) {
-      told = {ask.last_level->owner, ask.last_level->level, ask.last_level->age.count()};
+      told = {ask.last_level->owner, ask.last_level->level,
+              ask.last_level->age.count()};
     }
     return fleet_wire::Createquota_ask(
                out_, out_.CreateString(ask.from.ToString()), ask.ticket,
@@ -148,7 +151,8 @@
   }
 
  private:
-  flatbuffers::Offset<fleet_wire::member> WriteMember(const member_update& news) {
+  flatbuffers::Offset<fleet_wire::member> WriteMember(
+      const member_update& news) {
     const daemon_record& record = news.record;
     const auto name = out_.CreateString(record.name);
     if (news.is_suspected) {
--- a/lib/Fleet/peer_table.cc
+++ b/lib/Fleet/peer_table.cc
@@ -65,11 +65,11 @@
   const bool is_late = sender.incarnation == known.record.incarnation &&
                        sender.version < known.record.version;
   const bool is_news =
-      !is_late && (!IsAlive(now, known) ||
-                   known.record.incarnation != sender.incarnation ||
-                   known.record.version != sender.version ||
-                   known.record.is_ready != sender.is_ready ||
-                   known.record.is_leaving != sender.is_leaving);
+      !is_late &&
+      (!IsAlive(now, known) || known.record.incarnation != sender.incarnation ||
+       known.record.version != sender.version ||
+       known.record.is_ready != sender.is_ready ||
+       known.record.is_leaving != sender.is_leaving);
   if (!is_late) {
     const bool is_same_version =
         known.record.incarnation == sender.incarnation &&
@@ -206,8 +206,9 @@
   }
 }
 
-std::vector<member_update> peer_table::TakeMemberUpdates(time_point now,
-                                                     const endpoint& address) {
+std::vector<member_update> peer_table::TakeMemberUpdates(
+    time_point now,
+    const endpoint& address) {
   std::vector<member_update> news = bulletin_.Take(kMemberNewsPerBeat);
   if (IsPartial() && news.size() < kMemberNewsPerBeat) {
     // Whoever missed a piece of news learns it so, sooner or later.
@@ -296,7 +297,7 @@
 }
 
 std::vector<const peer_table::peer*> peer_table::NextLiving(time_point now,
-                                                              size_t count) {
+                                                            size_t count) {
   std::vector<const peer*> named;
   auto next = peers_.upper_bound(last_named_);
   for (size_t i = 0; i < peers_.size() && named.size() < count; ++i) {
--- a/lib/Fleet/peer_targets.cc
+++ b/lib/Fleet/peer_targets.cc
@@ -20,9 +20,9 @@
 }
 
 std::vector<peer_table::peer*> peer_table::ListNext(time_point now,
-                                                      ring_side side,
-                                                      bool is_of_own_domain,
-                                                      size_t count) {
+                                                    ring_side side,
+                                                    bool is_of_own_domain,
+                                                    size_t count) {
   const uint64_t self = Hash64(options_.self_name);
   std::vector<std::pair<uint64_t, peer*>> ring;
   for (auto& [name, item] : peers_) {
@@ -46,7 +46,7 @@
 }
 
 void peer_table::ChooseWatchers(time_point now,
-                                 std::vector<endpoint>& targets) {
+                                std::vector<endpoint>& targets) {
   if (!std::exchange(must_choose_watchers_, false)) {
     return;
   }
@@ -150,8 +150,8 @@
 }
 
 bool peer_table::MayBePartner(time_point now,
-                               const address_state& state,
-                               time_point since) const {
+                              const address_state& state,
+                              time_point since) const {
   if (state.owner != nullptr) {
     return IsAlive(now, *state.owner);
   }
@@ -243,8 +243,8 @@
 }
 
 const daemon_record* peer_table::FindAhead(time_point now,
-                                            revision_number revision,
-                                            uint64_t turn) const {
+                                           revision_number revision,
+                                           uint64_t turn) const {
   const uint64_t key = Hash64(options_.self_name, turn);
   const auto rank = [&](const peer& item) {
     const bool is_own = item.record.failure_domain == options_.self_domain;
@@ -255,8 +255,7 @@
   };
   const peer* best = nullptr;
   for (const auto& [name, item] : peers_) {
-    const bool is_ahead =
-        IsAlive(now, item) && item.record.revision > revision;
+    const bool is_ahead = IsAlive(now, item) && item.record.revision > revision;
     if (is_ahead && (best == nullptr || rank(item) > rank(*best))) {
       best = &item;
     }
--- a/lib/Fleet/routing_config.cc
+++ b/lib/Fleet/routing_config.cc
@@ -22,7 +22,7 @@
 }
 
 const route_spec* routing_config::FindRoute(std::string_view host,
-                                        std::string_view path) const {
+                                            std::string_view path) const {
   auto item =
       std::lower_bound(routes.begin(), routes.end(), host,
                        [](const route_spec& a, std::string_view wanted) {
@@ -44,9 +44,9 @@
 }
 
 const service_config* routing_config::FindService(std::string_view name) const {
-  const auto found =
-      std::find_if(services.begin(), services.end(),
-                   [&](const service_config& item) { return item.name == name; });
+  const auto found = std::find_if(
+      services.begin(), services.end(),
+      [&](const service_config& item) { return item.name == name; });
   return found == services.end() ? nullptr : &*found;
 }
 
--- a/lib/Fleet/staleness_tracker.cc
+++ b/lib/Fleet/staleness_tracker.cc
@@ -41,8 +41,8 @@
 }
 
 bool staleness_tracker::HasReachedStore(time_point now,
-                                    uint64_t witness,
-                                    duration span) const {
+                                        uint64_t witness,
+                                        duration span) const {
   const auto found = answered_at_.find(witness);
   return found != answered_at_.end() && now - found->second <= span;
 }
--- a/lib/Fleet/store_follower_policy.cc
+++ b/lib/Fleet/store_follower_policy.cc
@@ -19,7 +19,7 @@
 static constexpr duration kLongestTryInterval = std::chrono::seconds(3);
 
 void store_follower_policy::OnPeers(const daemon_record& self,
-                         std::span<const daemon_record> living) {
+                                    std::span<const daemon_record> living) {
   is_chosen_ = FollowsStore(self, living);
 }
 
--- a/lib/Fleet/store_outage_tracker.cc
+++ b/lib/Fleet/store_outage_tracker.cc
@@ -28,7 +28,8 @@
   return_.revision = std::min(return_.revision, seen.revision);
 }
 
-void store_outage_tracker::OnStoreAnswer(time_point at, revision_number revision) {
+void store_outage_tracker::OnStoreAnswer(time_point at,
+                                         revision_number revision) {
   if (IsStoreUnavailable(at)) {
     const auto stamp = static_cast<uint64_t>(at.time_since_epoch().count());
     OnReturn({.event = CombineHash(options_.self, stamp),
@@ -38,9 +39,10 @@
   answered_at_ = std::max(answered_at_.value_or(at), at);
 }
 
-void store_outage_tracker::OnPeer(time_point now,
-                              const store_recovery& told,
-                              const std::optional<freshness_record>& evidence) {
+void store_outage_tracker::OnPeer(
+    time_point now,
+    const store_recovery& told,
+    const std::optional<freshness_record>& evidence) {
   // Daemons of an earlier release name no revision, and await more than can
   // have lapsed.
   if (told.event != 0 && told.revision != 0) {
--- a/lib/Fleet/weights_rollout.cc
+++ b/lib/Fleet/weights_rollout.cc
@@ -181,8 +181,8 @@
 }
 
 void weights_rollout::OnCommandResult(time_point now,
-                                 const std::string& upstream,
-                                 command_result end) {
+                                      const std::string& upstream,
+                                      command_result end) {
   const auto found = engines_.find(upstream);
   if (found == engines_.end() || found->second.at != stage::kOrdered) {
     return;
--- a/lib/Http1/upstream_connection.cc
+++ b/lib/Http1/upstream_connection.cc
@@ -194,7 +194,8 @@
   const bool is_whole =
       is_orderly && reader_.ReadEnd() == read_result::kMessageDone;
   close_announced_ = true;
-  End(is_whole ? upstream_call_result::kComplete : upstream_call_result::kBroken);
+  End(is_whole ? upstream_call_result::kComplete
+               : upstream_call_result::kBroken);
 }
 
 void upstream_connection::OnTimeout() {
@@ -212,8 +213,8 @@
   const bool has_more = evbuffer_get_length(bufferevent_get_input(stream_)) > 0;
   // An answer that came before the whole request was sent leaves the rest of
   // the request due; nothing else may be sent in its place.
-  is_reusable_ = end == upstream_call_result::kComplete && !close_announced_ && !has_more &&
-                 !HasUnsentBytes() && keep_time_.count() > 0;
+  is_reusable_ = end == upstream_call_result::kComplete && !close_announced_ &&
+                 !has_more && !HasUnsentBytes() && keep_time_.count() > 0;
   idle_since_ = std::chrono::steady_clock::now();
   if (is_reusable_) {
     // Well before the upstream closes it, so that no request crosses that.
--- a/lib/Net/http_call.cc
+++ b/lib/Net/http_call.cc
@@ -149,7 +149,8 @@
   }
   ended_ = true;
   connect_timer_.Cancel();
-  const bool keep = end == http_result::kComplete && !fresh_ && !close_announced_;
+  const bool keep =
+      end == http_result::kComplete && !fresh_ && !close_announced_;
   client_.GiveBack(to_, connection_, keep);
   handler_.OnEnd(end);
 }
--- a/lib/Once/shard_journal.cc
+++ b/lib/Once/shard_journal.cc
@@ -15,9 +15,9 @@
 shard_journal::shard_journal(const options& opts) : options_(opts) {}
 
 void shard_journal::Call(pending_call kind,
-                        platform_operation operation,
-                        std::string value,
-                        action_list& out) {
+                         platform_operation operation,
+                         std::string value,
+                         action_list& out) {
   call_ = kind;
   ++call_serial_;
   if (operation == platform_operation::kCompareAndSwap) {
@@ -60,7 +60,7 @@
 }
 
 void shard_journal::AdoptRecord(const shard_record& record,
-                               revision_number revision) {
+                                revision_number revision) {
   epoch_ = record.epoch;
   revision_ = revision;
   floor_ = record.floor;
@@ -112,9 +112,9 @@
 }
 
 void shard_journal::Reply(const grantee& asker,
-                         start_result verdict,
-                         action_list& out,
-                         const recorded_response& answer) const {
+                          start_result verdict,
+                          action_list& out,
+                          const recorded_response& answer) const {
   const bool refused = verdict == start_result::kRefused;
   out.push_back(send_peer{
       .to = asker.reply_to,
@@ -127,9 +127,9 @@
 }
 
 void shard_journal::AnswerRepeat(time_point now,
-                                entry& found,
-                                const start_request& request,
-                                action_list& out) {
+                                 entry& found,
+                                 const start_request& request,
+                                 action_list& out) {
   const grantee asker{.reply_to = request.reply_to,
                       .host = request.host,
                       .incarnation = request.incarnation,
@@ -169,9 +169,9 @@
 }
 
 void shard_journal::OnStart(time_point now,
-                           uint64_t unix_now,
-                           const start_request& request,
-                           action_list& out) {
+                            uint64_t unix_now,
+                            const start_request& request,
+                            action_list& out) {
   const grantee asker{.reply_to = request.reply_to,
                       .host = request.host,
                       .incarnation = request.incarnation,
@@ -207,7 +207,9 @@
   Commit(now, unix_now, out);
 }
 
-void shard_journal::Commit(time_point now, uint64_t unix_now, action_list& out) {
+void shard_journal::Commit(time_point now,
+                           uint64_t unix_now,
+                           action_list& out) {
   const bool may_write = state_ == ownership::kOwned &&
                          call_ == pending_call::kNone && now >= next_write_;
   if (!may_write || waiting_.empty()) {
@@ -221,7 +223,9 @@
        EncodeShardRecord(MakeRecord()), out);
 }
 
-void shard_journal::OnTick(time_point now, uint64_t unix_now, action_list& out) {
+void shard_journal::OnTick(time_point now,
+                           uint64_t unix_now,
+                           action_list& out) {
   if (state_ == ownership::kUncertain && call_ == pending_call::kNone &&
       now >= next_read_back_) {
     Call(pending_call::kReadBack, platform_operation::kRead, {}, out);
@@ -231,9 +235,9 @@
 }
 
 void shard_journal::OnPlatformAnswer(time_point now,
-                                    uint64_t unix_now,
-                                    const platform_reply& answer,
-                                    action_list& out) {
+                                     uint64_t unix_now,
+                                     const platform_reply& answer,
+                                     action_list& out) {
   if (answer.tag.serial != call_serial_ || call_ == pending_call::kNone) {
     return;
   }
@@ -265,7 +269,7 @@
 }
 
 void shard_journal::OnClaimRead(const platform_reply& answer,
-                               action_list& out) {
+                                action_list& out) {
   if (answer.status == platform_status::kNoAnswer) {
     state_ = ownership::kNone;
     return;
@@ -281,7 +285,7 @@
 }
 
 void shard_journal::OnClaimWrite(const platform_reply& answer,
-                                action_list& out) {
+                                 action_list& out) {
   switch (answer.status) {
     case platform_status::kOk:
       revision_ = answer.revision;
@@ -298,8 +302,8 @@
 }
 
 void shard_journal::OnCommit(time_point now,
-                            const platform_reply& answer,
-                            action_list& out) {
+                             const platform_reply& answer,
+                             action_list& out) {
   switch (answer.status) {
     case platform_status::kOk:
       revision_ = answer.revision;
@@ -323,8 +327,8 @@
 }
 
 void shard_journal::OnReadBack(time_point now,
-                              const platform_reply& answer,
-                              action_list& out) {
+                               const platform_reply& answer,
+                               action_list& out) {
   if (answer.status == platform_status::kNoAnswer) {
     next_read_back_ = now + kReadBackInterval;
     RefusePending(out);
--- a/lib/Once/shard_manager.cc
+++ b/lib/Once/shard_manager.cc
@@ -16,10 +16,10 @@
       FromSeconds(opts.shard_count / opts.fleet_writes_per_second);
   for (shard_number shard = 0; shard < opts.shard_count; ++shard) {
     slots_.push_back({.ledger = shard_journal({.shard = shard,
-                                              .host = opts.host,
-                                              .incarnation = opts.incarnation,
-                                              .retention = opts.retention,
-                                              .write_interval = interval})});
+                                               .host = opts.host,
+                                               .incarnation = opts.incarnation,
+                                               .retention = opts.retention,
+                                               .write_interval = interval})});
   }
 }
 
@@ -48,10 +48,10 @@
 }
 
 void shard_manager::ConsiderClaim(time_point now,
-                                 const member_table& members,
-                                 slot& item,
-                                 shard_number shard,
-                                 action_list& out) {
+                                  const member_table& members,
+                                  slot& item,
+                                  shard_number shard,
+                                  action_list& out) {
   const member* owner = members.FindOwner(shard);
   const bool owned_elsewhere =
       owner != nullptr && owner->host != options_.host && owner->IsServing();
@@ -76,9 +76,9 @@
 }
 
 void shard_manager::Rebalance(time_point now,
-                             uint64_t unix_now,
-                             const member_table& members,
-                             action_list& out) {
+                              uint64_t unix_now,
+                              const member_table& members,
+                              action_list& out) {
   if (now < next_rebalance_) {
     return;
   }
@@ -101,9 +101,9 @@
 }
 
 void shard_manager::OnTick(time_point now,
-                          uint64_t unix_now,
-                          const member_table& members,
-                          action_list& out) {
+                           uint64_t unix_now,
+                           const member_table& members,
+                           action_list& out) {
   for (shard_number shard = 0; shard < options_.shard_count; ++shard) {
     slot& item = slots_[shard];
     item.ledger.OnTick(now, unix_now, out);
@@ -126,9 +126,9 @@
 }
 
 void shard_manager::OnPlatformAnswer(time_point now,
-                                    uint64_t unix_now,
-                                    const platform_reply& answer,
-                                    action_list& out) {
+                                     uint64_t unix_now,
+                                     const platform_reply& answer,
+                                     action_list& out) {
   if (answer.tag.shard < slots_.size()) {
     slots_[answer.tag.shard].ledger.OnPlatformAnswer(now, unix_now, answer,
                                                      out);
@@ -136,9 +136,9 @@
 }
 
 void shard_manager::OnStart(time_point now,
-                           uint64_t unix_now,
-                           const start_request& request,
-                           action_list& out) {
+                            uint64_t unix_now,
+                            const start_request& request,
+                            action_list& out) {
   if (request.shard < slots_.size()) {
     slots_[request.shard].ledger.OnStart(now, unix_now, request, out);
   }
--- a/lib/Platform/blocking_platform.cc
+++ b/lib/Platform/blocking_platform.cc
@@ -30,8 +30,8 @@
 }
 
 platform_reply blocking_platform::CompareAndSwap(const std::string& key,
-                                                  const std::string& value,
-                                                  revision_number expected) {
+                                                 const std::string& value,
+                                                 revision_number expected) {
   return Call({.operation = platform_operation::kCompareAndSwap,
                .key = key,
                .value = value,
--- a/lib/Platform/platform_client.cc
+++ b/lib/Platform/platform_client.cc
@@ -90,8 +90,8 @@
   void OnData(std::string_view data) override { answer_.value += data; }
 
   void OnEnd(http_result end) override {
-    answer_.status =
-        end == http_result::kComplete ? ReadStatus() : platform_status::kNoAnswer;
+    answer_.status = end == http_result::kComplete ? ReadStatus()
+                                                   : platform_status::kNoAnswer;
     if (answer_.status == platform_status::kOk &&
         operation_ == platform_operation::kListHosts) {
       answer_.hosts = ParseHosts(answer_.value);
--- a/lib/Routing/cache_planner.cc
+++ b/lib/Routing/cache_planner.cc
@@ -125,7 +125,8 @@
   /// A store in the failure domain of the prefix's home, where there is one:
   /// that is where most of its copies go.
   const cache_store_spec* ChooseStore() const {
-    const auto home = question_.replicas.PreferredReplica(model_.name, shared_.hash);
+    const auto home =
+        question_.replicas.PreferredReplica(model_.name, shared_.hash);
     const std::string domain =
         home ? question_.replicas[*home].spec.failure_domain : std::string();
     const cache_store_spec* best = nullptr;
--- a/lib/Routing/prompt_length_classifier.cc
+++ b/lib/Routing/prompt_length_classifier.cc
@@ -56,13 +56,16 @@
           .seconds = kMixSeconds * (1 - RemainingShare(now - first_at_))};
 }
 
-void prompt_length_classifier::CountPrompt(time_point now, double prompt_tokens) {
+void prompt_length_classifier::CountPrompt(time_point now,
+                                           double prompt_tokens) {
   Decay(now);
   own_.requests += 1;
   own_.prompt_tokens += prompt_tokens;
 }
 
-void prompt_length_classifier::CountRead(time_point now, bool is_long, double tokens) {
+void prompt_length_classifier::CountRead(time_point now,
+                                         bool is_long,
+                                         double tokens) {
   Decay(now);
   (is_long ? own_.long_prefill : own_.short_prefill) += tokens;
 }
@@ -73,8 +76,8 @@
 }
 
 void prompt_length_classifier::OnPeer(time_point now,
-                          const std::string& peer,
-                          const prompt_mix& told) {
+                                      const std::string& peer,
+                                      const prompt_mix& told) {
   peers_[peer] = {.mix = told, .at = now};
   std::erase_if(peers_, [&](const auto& item) {
     return now - item.second.at > kPeerTime;
@@ -102,13 +105,14 @@
   return sum;
 }
 
-bool prompt_length_classifier::IsLong(time_point now, double prompt_tokens) const {
+bool prompt_length_classifier::IsLong(time_point now,
+                                      double prompt_tokens) const {
   const prompt_mix sum = Sum(now);
   return prompt_tokens * sum.requests > sum.prompt_tokens;
 }
 
 double prompt_length_classifier::ShortShare(time_point now,
-                               const engine_slots& engines) const {
+                                            const engine_slots& engines) const {
   if (engines.count == 0 || engines.slots < kLeastSlots * engines.count) {
     return 0;
   }
--- a/lib/Routing/replica_learning.cc
+++ b/lib/Routing/replica_learning.cc
@@ -143,17 +143,17 @@
 }
 
 void replica_table::LearnPredictionError(time_point now,
-                                std::string_view target,
-                                priority_class priority,
-                                duration excess) {
+                                         std::string_view target,
+                                         priority_class priority,
+                                         duration excess) {
   if (const auto found = by_target_.find(target); found != by_target_.end()) {
     found->second.estimate.LearnPredictionError(now, priority, excess);
   }
 }
 
 duration replica_table::MeanPredictionError(time_point now,
-                                    std::string_view target,
-                                    priority_class priority) const {
+                                            std::string_view target,
+                                            priority_class priority) const {
   const auto found = by_target_.find(target);
   return found == by_target_.end()
              ? duration(0)
--- a/lib/Routing/replica_table.cc
+++ b/lib/Routing/replica_table.cc
@@ -312,8 +312,9 @@
   --item.in_flight;
 }
 
-std::optional<replica_index> replica_table::PreferredReplica(std::string_view target,
-                                                   uint64_t prefix) const {
+std::optional<replica_index> replica_table::PreferredReplica(
+    std::string_view target,
+    uint64_t prefix) const {
   const auto found = by_target_.find(target);
   if (found == by_target_.end()) {
     return std::nullopt;
--- a/lib/Routing/target_estimate.cc
+++ b/lib/Routing/target_estimate.cc
@@ -42,8 +42,8 @@
 }
 
 void target_estimate::LearnPredictionError(time_point now,
-                                  priority_class priority,
-                                  duration excess) {
+                                           priority_class priority,
+                                           duration excess) {
   learnt_excess& known = excesses_[static_cast<size_t>(priority)];
   const double before = ExcessAt(now, known);
   known = {
@@ -52,7 +52,7 @@
 }
 
 duration target_estimate::MeanPredictionError(time_point now,
-                                      priority_class priority) const {
+                                              priority_class priority) const {
   const double seconds =
       ExcessAt(now, excesses_[static_cast<size_t>(priority)]);
   return FromSeconds(std::max(0.0, seconds));
--- a/test/Scenario/fake_platform.cc
+++ b/test/Scenario/fake_platform.cc
@@ -43,8 +43,8 @@
 }
 
 platform_reply fake_platform::CompareAndSwap(const std::string& key,
-                                              const std::string& value,
-                                              revision_number expected) {
+                                             const std::string& value,
+                                             revision_number expected) {
   platform_reply answer =
       Apply({.operation = platform_operation::kCompareAndSwap,
              .key = key,
--- a/test/Scenario/fake_platform.h
+++ b/test/Scenario/fake_platform.h
@@ -21,8 +21,8 @@
   /// For operators' tools, which run outside the world's time.
   platform_reply Read(const std::string& key) override;
   platform_reply CompareAndSwap(const std::string& key,
-                                 const std::string& value,
-                                 revision_number expected) override;
+                                const std::string& value,
+                                revision_number expected) override;
 
   revision_number RevisionOf(const std::string& key) const;
   void SetHosts(std::vector<listed_host> hosts) { hosts_ = std::move(hosts); }
--- a/test/soak/notice_check.h
+++ b/test/soak/notice_check.h
@@ -31,7 +31,7 @@
  public:
   /// An upstream refused a request and asks its daemon for \p rest.
   std::optional<std::string> OnBackoffRequested(const notice_arrival& item,
-                                         std::chrono::milliseconds rest);
+                                                std::chrono::milliseconds rest);
   /// A caller got an answer of \p upstream that says that it leaves.
   void OnLeavingTold(const endpoint& daemon,
                      const std::string& upstream,
--- a/unittests/Admission/load_shedder_test.cc
+++ b/unittests/Admission/load_shedder_test.cc
@@ -11,8 +11,8 @@
 using std::chrono::milliseconds;
 
 shedding_query Question(int waited_ms,
-                       int expected_ms,
-                       priority_class priority = priority_class::kStandard) {
+                        int expected_ms,
+                        priority_class priority = priority_class::kStandard) {
   return {.waited = milliseconds(waited_ms),
           .expected = milliseconds(expected_ms),
           .target = milliseconds(800),
--- a/unittests/Admission/request_quarantine_test.cc
+++ b/unittests/Admission/request_quarantine_test.cc
@@ -43,10 +43,10 @@
   }
   void Tell(uint64_t upstream, duration age = duration(0)) {
     quarantine_.OnUpdate(now_, {.crashes = {{.request = kRequest,
-                                           .upstream = upstream,
-                                           .age = age,
-                                           .took = kRun}},
-                              .completions = {}});
+                                             .upstream = upstream,
+                                             .age = age,
+                                             .took = kRun}},
+                                .completions = {}});
   }
 
   static constexpr duration kRun = milliseconds(40);
--- a/unittests/Admission/upstream_limits_test.cc
+++ b/unittests/Admission/upstream_limits_test.cc
@@ -57,21 +57,21 @@
 TEST(upstream_limits_test, TheYoungerNewsOfAPeerCounts) {
   upstream_limits limits;
   EXPECT_EQ(limits.OnUpdate(At(2), {.upstream = kUpstream,
-                                  .rate = 4,
-                                  .age = std::chrono::seconds(1)}),
+                                    .rate = 4,
+                                    .age = std::chrono::seconds(1)}),
             change::kAdded);
   EXPECT_EQ(limits.OnUpdate(At(2), {.upstream = kUpstream,
-                                  .has_ended = true,
-                                  .age = std::chrono::seconds(2)}),
+                                    .has_ended = true,
+                                    .age = std::chrono::seconds(2)}),
             change::kNothing);
   EXPECT_EQ(limits.OnUpdate(At(2), {.upstream = kUpstream,
-                                  .rate = 9,
-                                  .age = std::chrono::seconds(3)}),
+                                    .rate = 9,
+                                    .age = std::chrono::seconds(3)}),
             change::kNothing);
   EXPECT_EQ(limits.Find(kUpstream), 4);
   EXPECT_EQ(limits.OnUpdate(At(3), {.upstream = kUpstream,
-                                  .has_ended = true,
-                                  .age = std::chrono::milliseconds(100)}),
+                                    .has_ended = true,
+                                    .age = std::chrono::milliseconds(100)}),
             change::kEnded);
 }
 
@@ -90,7 +90,7 @@
 TEST(upstream_limits_test, WhatPeersToldIsPassedOnWithItsAge) {
   upstream_limits limits;
   limits.OnUpdate(At(0),
-                {.upstream = 1, .rate = 4, .age = std::chrono::seconds(2)});
+                  {.upstream = 1, .rate = 4, .age = std::chrono::seconds(2)});
   const auto news = limits.ListUpdates(At(1), true);
   ASSERT_EQ(news.size(), 1U);
   EXPECT_EQ(news.front().rate, 4);
--- a/unittests/Edge/attempt_disposition_test.cc
+++ b/unittests/Edge/attempt_disposition_test.cc
@@ -76,9 +76,9 @@
   for (const attempt_result answer :
        {kSuccess, kFailure, kBroken, kStalled, kUnrelated}) {
     for (const bool may_repeat : {false, true}) {
-      EXPECT_NE(
-          ClassifyAttempt(answer, response_progress::kNothing, may_repeat).result,
-          outcome::kNotRun);
+      EXPECT_NE(ClassifyAttempt(answer, response_progress::kNothing, may_repeat)
+                    .result,
+                outcome::kNotRun);
     }
   }
 }
--- a/unittests/Edge/graceful_stop_test.cc
+++ b/unittests/Edge/graceful_stop_test.cc
@@ -28,8 +28,10 @@
 // Cause: whatever came was taken, however late.
 TEST(graceful_stop_test, ALateRequestThatMayOutliveTheProcessIsNotTaken) {
   const graceful_stop stop = Stopping();
-  EXPECT_TRUE(stop.CanAccept(kStart + milliseconds(2600), milliseconds(12'000)));
-  EXPECT_FALSE(stop.CanAccept(kStart + milliseconds(2800), milliseconds(12'000)));
+  EXPECT_TRUE(
+      stop.CanAccept(kStart + milliseconds(2600), milliseconds(12'000)));
+  EXPECT_FALSE(
+      stop.CanAccept(kStart + milliseconds(2800), milliseconds(12'000)));
   EXPECT_TRUE(stop.CanAccept(kStart + milliseconds(2800), milliseconds(600)));
   EXPECT_FALSE(stop.CanAccept(kStart + milliseconds(7200), milliseconds(600)));
 }
--- a/unittests/Edge/request_flow_test.cc
+++ b/unittests/Edge/request_flow_test.cc
@@ -61,7 +61,7 @@
  public:
   void OnFlowEvent(core_event /*event*/) override {}
   void OnFlowFeedback(const request_flow& /*flow*/,
-                     const upstream_feedback& notices) override {
+                      const upstream_feedback& notices) override {
     if (notices.limit) {
       limits.push_back(*notices.limit);
     }
--- a/unittests/Edge/upstream_feedback_test.cc
+++ b/unittests/Edge/upstream_feedback_test.cc
@@ -8,7 +8,7 @@
 
 constexpr char kAttempt[] = "a1";
 constexpr backoff_notice kRest{.kind = notice_kind::kNamed,
-                            .time = std::chrono::seconds(3)};
+                               .time = std::chrono::seconds(3)};
 
 response_attributes Refusal() {
   return {.attempt = kAttempt, .was_not_run = true, .backoff = kRest};
--- a/unittests/Fleet/crash_update_queue_test.cc
+++ b/unittests/Fleet/crash_update_queue_test.cc
@@ -12,12 +12,13 @@
 const endpoint kLatePeer{.address = "10.0.0.2", .port = 1};
 constexpr time_point kNow{seconds(100)};
 constexpr crash_report kCrash{.request = {.high = 1, .low = 1},
-                            .upstream = 2,
-                            .age = seconds(1)};
+                              .upstream = 2,
+                              .age = seconds(1)};
 
 TEST(crash_update_queue_test, EachPeerIsToldOnceWithTheAgeAtThatTime) {
   crash_update_queue bulletin;
-  bulletin.Add({.update = {.crashes = {kCrash}, .completions = {}}, .at = kNow});
+  bulletin.Add(
+      {.update = {.crashes = {kCrash}, .completions = {}}, .at = kNow});
   const auto told = bulletin.TakeFor(kNow + seconds(2), kPeer);
   ASSERT_EQ(told.crashes.size(), 1U);
   EXPECT_EQ(told.crashes[0].age, seconds(3));
--- a/unittests/Fleet/leader_election_test.cc
+++ b/unittests/Fleet/leader_election_test.cc
@@ -45,10 +45,10 @@
     calls.push_back([this, lease, done](bool is_lost) {
       const bool lives = lease == holder_lease;
       done(is_lost ? store_lease{}
-                   : store_lease{
-                         .end = lives ? store_status::kDone : store_status::kNoLease,
-                         .lease = lease,
-                         .time_to_live = milliseconds(1500)});
+                   : store_lease{.end = lives ? store_status::kDone
+                                              : store_status::kNoLease,
+                                 .lease = lease,
+                                 .time_to_live = milliseconds(1500)});
     });
   }
   void EndLease(lease_number lease) override {
@@ -78,9 +78,10 @@
 class leader_election_test : public testing::Test {
  protected:
   leader_election MakeElection(const std::string& name) {
-    return leader_election(
-        {.self_name = name, .key = "leader", .handover_gap = milliseconds(3000)},
-        store_);
+    return leader_election({.self_name = name,
+                            .key = "leader",
+                            .handover_gap = milliseconds(3000)},
+                           store_);
   }
   /// Lets \p span pass in small steps, with all answers.
   void Pass(leader_election& election, milliseconds span) {
@@ -126,7 +127,8 @@
   EXPECT_FALSE(election.MaySendCommand(now_));
   store_.Expire();
   Pass(election, milliseconds(100));
-  EXPECT_FALSE(election.MaySendCommand(now_)) << "a new term begins with the wait";
+  EXPECT_FALSE(election.MaySendCommand(now_))
+      << "a new term begins with the wait";
 }
 
 TEST_F(leader_election_test, WithoutRenewalTheLeadEndsBeforeTheLease) {
--- a/unittests/Fleet/peer_frame_test.cc
+++ b/unittests/Fleet/peer_frame_test.cc
@@ -68,7 +68,8 @@
       .event = 4, .left = std::chrono::seconds(2), .revision = 8};
   const auto awaiting = DecodePeerFrame(BytesOf(EncodePeerFrame(beat)));
   ASSERT_TRUE(awaiting);
-  EXPECT_EQ(std::get<heartbeat_frame>(*awaiting).sender.recovery, beat.sender.recovery);
+  EXPECT_EQ(std::get<heartbeat_frame>(*awaiting).sender.recovery,
+            beat.sender.recovery);
   beat.freshness->age = -std::chrono::milliseconds(1);
   EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(beat))));
   beat.freshness.reset();
@@ -175,11 +176,11 @@
 
 TEST(peer_frame_test, AQuotaAnswerComesBack) {
   const quota_reply verdict{.ticket = 5,
-                              .is_admitted = true,
-                              .retry_after = std::chrono::milliseconds(20),
-                              .owner = 9,
-                              .level = -3,
-                              .share = 0.5};
+                            .is_admitted = true,
+                            .retry_after = std::chrono::milliseconds(20),
+                            .owner = 9,
+                            .level = -3,
+                            .share = 0.5};
   const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(verdict)));
   ASSERT_TRUE(frame.has_value());
   const auto& back = std::get<quota_reply>(*frame);
@@ -288,13 +289,13 @@
 
 TEST(peer_frame_test, NewsOfMembersComeBack) {
   const member_update lives{.record = {.name = "b",
-                                     .incarnation = 5,
-                                     .version = 3,
-                                     .peer_address = {"10.0.0.2", 7},
-                                     .caller_address = {"10.0.0.2", 8},
-                                     .failure_domain = "z",
-                                     .link_rate = 20,
-                                     .is_ready = true}};
+                                       .incarnation = 5,
+                                       .version = 3,
+                                       .peer_address = {"10.0.0.2", 7},
+                                       .caller_address = {"10.0.0.2", 8},
+                                       .failure_domain = "z",
+                                       .link_rate = 20,
+                                       .is_ready = true}};
   const member_update silent{
       .record = {.name = "c", .incarnation = 6, .version = 9},
       .is_suspected = true};
--- a/unittests/Fleet/peer_table_test.cc
+++ b/unittests/Fleet/peer_table_test.cc
@@ -31,8 +31,8 @@
 
 peer_table MakeRoster(std::vector<endpoint> seeds = {}) {
   return peer_table({.self_name = "self",
-                      .self_address = Address(1),
-                      .seeds = std::move(seeds)});
+                     .self_address = Address(1),
+                     .seeds = std::move(seeds)});
 }
 
 // Symptom: callers are sent to a host that is gone.
@@ -121,9 +121,9 @@
   int across = 0;
   for (int self = kFollowers; self < kDaemons; ++self) {
     peer_table roster({.self_name = "d" + std::to_string(self),
-                        .self_address = {"10.0.0.1", 1},
-                        .self_domain = domain_of(self),
-                        .seeds = {}});
+                       .self_address = {"10.0.0.1", 1},
+                       .self_domain = domain_of(self),
+                       .seeds = {}});
     for (int i = 0; i < kFollowers + 2; ++i) {
       heartbeat_frame beat = BeatOf("d" + std::to_string(i), i + 2);
       beat.sender.failure_domain = domain_of(i);
--- a/unittests/Fleet/roster_fleet.cc
+++ b/unittests/Fleet/roster_fleet.cc
@@ -20,7 +20,7 @@
     for (const host& from : hosts_) {
       // Long ago, too: none of them has just started.
       to.roster->OnHeartbeat(now_ - std::chrono::seconds(30),
-                        {.sender = from.record});
+                             {.sender = from.record});
       to.roster->OnHeartbeat(now_, {.sender = from.record});
     }
     while (to.roster->TakeMemberUpdates(now_, {}).size() > 1) {
@@ -46,12 +46,12 @@
                  .caller_address = AddressOf(number),
                  .failure_domain = "domain-" + std::to_string(DomainOf(number)),
                  .is_ready = true};
-  item.roster = std::make_unique<peer_table>(peer_table::options{
-      .self_name = item.record.name,
-      .self_incarnation = incarnation,
-      .self_address = item.record.peer_address,
-      .self_domain = item.record.failure_domain,
-      .seeds = {AddressOf(0), AddressOf(1), AddressOf(2)}});
+  item.roster = std::make_unique<peer_table>(
+      peer_table::options{.self_name = item.record.name,
+                          .self_incarnation = incarnation,
+                          .self_address = item.record.peer_address,
+                          .self_domain = item.record.failure_domain,
+                          .seeds = {AddressOf(0), AddressOf(1), AddressOf(2)}});
   std::vector<daemon_entry> listed;
   for (size_t i = 0; i < hosts_.size(); ++i) {
     listed.push_back({.name = NameOf(i), .peer_address = AddressOf(i)});
@@ -94,10 +94,11 @@
   }
   const size_t to = found->second;
   host& sender = hosts_[from];
-  heartbeat_frame beat{.sender = sender.record,
-                  .recent_peers = sender.roster->SampleAlive(now_),
-                  .is_watched = sender.roster->IsWatcher(address),
-                  .members = sender.roster->TakeMemberUpdates(now_, address)};
+  heartbeat_frame beat{
+      .sender = sender.record,
+      .recent_peers = sender.roster->SampleAlive(now_),
+      .is_watched = sender.roster->IsWatcher(address),
+      .members = sender.roster->TakeMemberUpdates(now_, address)};
   beat.sender.version = sender.roster->self_version();
   ++beats_;
   member_news_ += beat.members.size();
--- a/unittests/Fleet/staleness_tracker_test.cc
+++ b/unittests/Fleet/staleness_tracker_test.cc
@@ -43,8 +43,8 @@
   staleness_tracker tracker(1);
   tracker.OnPeer(kStart, {.daemon_hash = 2, .age = milliseconds(10)}, false);
   EXPECT_TRUE(tracker.HasReachedStore(kStart, 2, milliseconds(100)));
-  EXPECT_FALSE(
-      tracker.HasReachedStore(kStart + milliseconds(200), 2, milliseconds(100)));
+  EXPECT_FALSE(tracker.HasReachedStore(kStart + milliseconds(200), 2,
+                                       milliseconds(100)));
 }
 
 }  // namespace
--- a/unittests/Fleet/store_fleet.cc
+++ b/unittests/Fleet/store_fleet.cc
@@ -82,12 +82,13 @@
   if (now_ >= self.next_round) {
     self.next_round += kRound;
     Beat(number);
-    self.follows = self.duty.ShouldFollow(now_, {.self = living_[number],
-                                           .alive = living_,
-                                           .staleness = self.staleness,
-                                           .answered_at = self.answered_at,
-                                           .failed_at = self.failed_at,
-                                           .known = daemons_.size()});
+    self.follows =
+        self.duty.ShouldFollow(now_, {.self = living_[number],
+                                      .alive = living_,
+                                      .staleness = self.staleness,
+                                      .answered_at = self.answered_at,
+                                      .failed_at = self.failed_at,
+                                      .known = daemons_.size()});
   }
 }
 
--- a/unittests/Fleet/store_follower_policy_test.cc
+++ b/unittests/Fleet/store_follower_policy_test.cc
@@ -54,7 +54,8 @@
 }
 
 // Guards against followers that live without the store while others reach it.
-TEST_P(store_follower_policy_test, ThoseThatReachTheStoreLearnInTimeWithoutTheFollowers) {
+TEST_P(store_follower_policy_test,
+       ThoseThatReachTheStoreLearnInTimeWithoutTheFollowers) {
   const std::set<size_t> followers = fleet_.Followers();
   for (const size_t follower : followers) {
     fleet_.SetReached(follower, false);
@@ -70,7 +71,8 @@
 }
 
 // Guards against a daemon that waits for peers from which it is cut off.
-TEST_P(store_follower_policy_test, ThoseThatAreCutOffFromTheirPeersLearnInTime) {
+TEST_P(store_follower_policy_test,
+       ThoseThatAreCutOffFromTheirPeersLearnInTime) {
   const std::set<size_t> followers = fleet_.Followers();
   for (size_t i = 0, cut = 0; cut < 3; ++i) {
     if (!followers.contains(i)) {
--- a/unittests/Fleet/store_outage_tracker_test.cc
+++ b/unittests/Fleet/store_outage_tracker_test.cc
@@ -20,8 +20,8 @@
   }
   /// The store answers until `kLost`, and again from \p back on.
   static store_outage_tracker MakeAfterOutage(uint64_t self,
-                                          time_point back = kBack,
-                                          revision_number at = kAtReturn) {
+                                              time_point back = kBack,
+                                              revision_number at = kAtReturn) {
     store_outage_tracker made = Make(self);
     made.OnStoreAnswer(kLost, 10);
     made.OnStoreAnswer(back, at);
@@ -56,7 +56,8 @@
 }
 
 // Guards against requests to upstreams that left after the store's return.
-TEST_F(store_outage_tracker_test, OnlyWhatWasRemovedBeforeTheReturnMayHaveLapsed) {
+TEST_F(store_outage_tracker_test,
+       OnlyWhatWasRemovedBeforeTheReturnMayHaveLapsed) {
   EXPECT_EQ(MakeAfterOutage(1).Window().last_removal, kAtReturn);
 }
 
@@ -105,7 +106,8 @@
 
 // Guards against requests to upstreams that left: one host lost the store and
 // its peers, and told all others of a return that was none to them.
-TEST_F(store_outage_tracker_test, AReturnIsNotBelievedWhereTheStoreAnsweredBefore) {
+TEST_F(store_outage_tracker_test,
+       AReturnIsNotBelievedWhereTheStoreAnsweredBefore) {
   const store_outage_tracker cut_off = MakeAfterOutage(1);
   store_outage_tracker lapsed = Make(2);
   for (milliseconds at{0}; at <= seconds(5); at += milliseconds(1000)) {
--- a/unittests/Fleet/upstream_directory_test.cc
+++ b/unittests/Fleet/upstream_directory_test.cc
@@ -21,7 +21,7 @@
 constexpr revision_number kRemoved = 50;
 /// The store returned just now, after the removals.
 constexpr recovery_window kReturned{.until = kNow + milliseconds(2000),
-                                 .last_removal = kRemoved};
+                                    .last_removal = kRemoved};
 
 using ids = std::vector<std::string>;
 
@@ -118,7 +118,7 @@
 // Guards against requests to an upstream that left after the store's return.
 TEST_F(upstream_directory_test, WhatIsRemovedAfterTheReturnIsGone) {
   constexpr recovery_window kBefore{.until = kReturned.until,
-                                 .last_removal = kRemoved - 1};
+                                    .last_removal = kRemoved - 1};
   List({{.id = "a", .address = kHere}});
   List({}, kNow, kBefore);
   EXPECT_TRUE(InUse().empty());
@@ -140,7 +140,7 @@
   List({{.id = "a", .address = kHere}});
   List({}, kNow, kReturned);
   const recovery_window next{.until = kNow + milliseconds(7000),
-                          .last_removal = kRemoved + 10};
+                             .last_removal = kRemoved + 10};
   directory_.Expire(kNow + milliseconds(5000), next);
   EXPECT_EQ(InUse(), ids{"a"});
   directory_.Expire(kNow + milliseconds(7000), next);
--- a/unittests/Once/shard_journal_test.cc
+++ b/unittests/Once/shard_journal_test.cc
@@ -13,7 +13,8 @@
 /// A ledger whose platform is this test.
 class shard_journal_test : public testing::Test {
  protected:
-  shard_journal_test() : ledger_({.shard = 0, .host = "h1", .incarnation = 1}) {}
+  shard_journal_test()
+      : ledger_({.shard = 0, .host = "h1", .incarnation = 1}) {}
 
   platform_call TakeCall() {
     for (size_t i = 0; i < out_.size(); ++i) {
--- a/unittests/PlatformAdapter/fleet_growth_test.cc
+++ b/unittests/PlatformAdapter/fleet_growth_test.cc
@@ -16,8 +16,8 @@
 #include "cuminswitch/Core/request_router.h"
 #include "cuminswitch/Edge/routing_config_translator.h"
 #include "cuminswitch/Edge/weights_version_counter.h"
-#include "cuminswitch/Fleet/store_outage_tracker.h"
 #include "cuminswitch/Fleet/peer_table.h"
+#include "cuminswitch/Fleet/store_outage_tracker.h"
 #include "cuminswitch/Fleet/upstream_directory.h"
 #include "cuminswitch/Log/event_log.h"
 #include "cuminswitch/Protocol/shard_directory.h"
@@ -44,7 +44,7 @@
 
 constexpr time_point kNow{std::chrono::seconds(100)};
 constexpr recovery_window kReturned{.until = kNow + std::chrono::seconds(2),
-                                 .last_removal = 1};
+                                    .last_removal = 1};
 constexpr size_t kUpstreamsPerHost = 10;
 constexpr int kRepeats = 60;
 
--- a/unittests/Routing/prompt_length_classifier_test.cc
+++ b/unittests/Routing/prompt_length_classifier_test.cc
@@ -96,7 +96,8 @@
 // Symptom: engines get long prompts from some daemons and short ones from
 // others, and prefixes are read at both.
 // Cause: each daemon drew the boundary from the few requests that it saw.
-TEST(prompt_length_classifier_test, DaemonsWithOtherTrafficDrawTheSameBoundary) {
+TEST(prompt_length_classifier_test,
+     DaemonsWithOtherTrafficDrawTheSameBoundary) {
   prompt_length_classifier first;
   prompt_length_classifier second;
   Feed(first, 9, 1);
@@ -105,14 +106,14 @@
   const prompt_mix told_second = second.Own(At(10));
   first.OnPeer(At(10), "second", told_second);
   second.OnPeer(At(10), "first", told_first);
-  EXPECT_NEAR(first.ShortShare(At(10), kSlots), second.ShortShare(At(10), kSlots),
-              1e-9);
+  EXPECT_NEAR(first.ShortShare(At(10), kSlots),
+              second.ShortShare(At(10), kSlots), 1e-9);
   // One that has just started knows it from its peers.
   prompt_length_classifier third;
   third.OnPeer(At(10), "first", told_first);
   third.OnPeer(At(10), "second", told_second);
-  EXPECT_NEAR(third.ShortShare(At(10), kSlots), first.ShortShare(At(10), kSlots),
-              1e-9);
+  EXPECT_NEAR(third.ShortShare(At(10), kSlots),
+              first.ShortShare(At(10), kSlots), 1e-9);
   EXPECT_TRUE(third.IsLong(At(10), 9'000));
 }
 
