--- a/include/cuminswitch/Admission/owner_quota_policy.h
+++ b/include/cuminswitch/Admission/owner_quota_policy.h
@@ -17,10 +17,10 @@
 /// What is done where nobody can be asked.
 enum class quota_fallback : uint8_t {
   /// The daemon gives out an even part of the limit.
-  kEvenPart,
+  kEvenShare,
   /// Nothing is taken: where a limit is a few requests a second, the parts of
   /// many daemons, of one request each at least, add up to many times of it.
-  kNothing,
+  kRefuse,
 };
 
 /// Each subject (a workspace, or an upstream that names a limit) has an owner,
@@ -60,20 +60,20 @@
     uint64_t id = 0;
     quota_kind kind = quota_kind::kWorkspace;
     /// What becomes of a request while no owner answers.
-    quota_fallback fallback = quota_fallback::kEvenPart;
+    quota_fallback fallback = quota_fallback::kEvenShare;
   };
 
   /// A daemon that has just started takes so long to hear of most others: beats
   /// reach everybody at 68 hosts within 0.6 s.
-  static constexpr duration kGatherTime = std::chrono::milliseconds(1'500);
+  static constexpr duration kWarmUpTime = std::chrono::milliseconds(1'500);
 
   explicit owner_quota_policy(const options& opts);
 
   void SetFleet(time_point now, const quota_fleet_view& fleet) override;
   void Admit(time_point now, const quota_request& item) override;
   void Charge(time_point now, const quota_request& item) override;
-  void OnAsk(time_point now, const quota_ask& ask) override;
-  void OnVerdict(time_point now, const quota_verdict& verdict) override;
+  void OnQuery(time_point now, const quota_query& ask) override;
+  void OnReply(time_point now, const quota_reply& verdict) override;
   void OnTick(time_point now) override;
 
  private:
@@ -114,16 +114,16 @@
   double PartAsOwner(time_point now, uint64_t subject) const;
   /// The least part of the fleet that was seen of late.
   double SeenPart(time_point now) const;
-  quota_ask MakeAsk(time_point now, const quota_request& item) const;
+  quota_query MakeAsk(time_point now, const quota_request& item) const;
   /// Reports \p weight units of \p item's subject, and asks nothing.
-  quota_ask MakeReport(time_point now,
-                       const quota_request& item,
-                       double weight) const;
+  quota_query MakeReport(time_point now,
+                         const quota_request& item,
+                         double weight) const;
   void Send(time_point now, pending asked);
   void DecideHere(time_point now, const quota_request& item);
   /// Nobody answers.
   void DecideAlone(time_point now, const quota_request& item);
-  void Note(time_point now, uint64_t subject, const quota_verdict& verdict);
+  void Note(time_point now, uint64_t subject, const quota_reply& verdict);
   /// Tells an owner that answers what was taken without one.
   void ReportTaken(time_point now,
                    const quota_request& item,
--- a/include/cuminswitch/Admission/quota_policy.h
+++ b/include/cuminswitch/Admission/quota_policy.h
@@ -29,7 +29,7 @@
   /// Of what it is; a repeat has the same one.
   uint64_t digest = 0;
   /// The longest wait after which its caller would come back.
-  duration patience{0};
+  duration max_wait{0};
 };
 
 /// Who decided about a request.
@@ -39,11 +39,11 @@
   /// This daemon, as the owner.
   kSelf,
   /// This daemon by what an owner told it just before.
-  kBelief,
+  kCached,
   /// This daemon by its own part of the limit; no owner was reached.
-  kOwnPart,
+  kLocalShare,
   /// Nobody: no owner was reached.
-  kNobody,
+  kNone,
 };
 
 std::string_view ToString(quota_source source);
@@ -64,12 +64,12 @@
 /// What a daemon knows of the others.
 struct quota_fleet_view {
   /// The others that live.
-  std::span<const endpoint> living;
+  std::span<const endpoint> alive;
   /// Daemons of the deployment that may be at work, silent ones and this one
   /// included.
   size_t known = 1;
   /// Within this time of a change all know of it.
-  duration notice_time = std::chrono::seconds(3);
+  duration convergence_time = std::chrono::seconds(3);
   /// This daemon stops, and the others pass it over.
   bool is_leaving = false;
 };
@@ -85,21 +85,21 @@
   virtual void Admit(time_point now, const quota_request& item) = 0;
   /// Reports that an admitted request used more, or, below 0, less.
   virtual void Charge(time_point now, const quota_request& item) = 0;
-  virtual void OnAsk(time_point now, const quota_ask& ask) = 0;
-  virtual void OnVerdict(time_point now, const quota_verdict& verdict) = 0;
+  virtual void OnQuery(time_point now, const quota_query& ask) = 0;
+  virtual void OnReply(time_point now, const quota_reply& verdict) = 0;
   /// Called some times a second.
   virtual void OnTick(time_point now) = 0;
 
   std::vector<quota_decision> TakeDecisions() {
     return std::exchange(decisions_, {});
   }
-  std::vector<quota_send> TakeMessages() {
+  std::vector<outgoing_quota_message> TakeMessages() {
     return std::exchange(messages_, {});
   }
 
  protected:
   std::vector<quota_decision> decisions_;
-  std::vector<quota_send> messages_;
+  std::vector<outgoing_quota_message> messages_;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Core/decision_core.h
+++ b/include/cuminswitch/Core/decision_core.h
@@ -15,7 +15,7 @@
 #include "cuminswitch/Core/request_router.h"
 #include "cuminswitch/Core/upstream_prober.h"
 #include "cuminswitch/Membership/member_table.h"
-#include "cuminswitch/Once/shard_keeper.h"
+#include "cuminswitch/Once/shard_manager.h"
 #include "cuminswitch/Protocol/core_action.h"
 #include "cuminswitch/Protocol/core_event.h"
 
@@ -58,7 +58,7 @@
   void Handle(time_point now, const attempt_ended& event, action_list& out);
   void Handle(time_point now, const upstream_report& event, action_list& out);
   void Handle(time_point now, const peer_received& event, action_list& out);
-  void Handle(time_point now, const platform_answer& event, action_list& out);
+  void Handle(time_point now, const platform_reply& event, action_list& out);
   void Handle(time_point now, const tick& event, action_list& out);
   void Handle(time_point now, const stop_requested& event, action_list& out);
 
@@ -86,7 +86,7 @@
   options options_;
   member_table members_;
   config_sync config_;
-  shard_keeper shards_;
+  shard_manager shards_;
   upstream_prober prober_;
   request_router router_;
   time_point next_wake_{};
--- a/include/cuminswitch/Core/request_router.h
+++ b/include/cuminswitch/Core/request_router.h
@@ -29,7 +29,7 @@
 #include "cuminswitch/Routing/placement_policy.h"
 #include "cuminswitch/Routing/placement_query.h"
 #include "cuminswitch/Routing/prefix_index.h"
-#include "cuminswitch/Routing/prompt_kinds.h"
+#include "cuminswitch/Routing/prompt_length_classifier.h"
 #include "cuminswitch/Routing/replica_table.h"
 
 namespace cuminswitch {
@@ -65,7 +65,7 @@
     /// one until its time is over.
     bool refuse_without_upstream = false;
     /// Keep placements for `TakePlacedPrefixes`.
-    bool tells_placements = false;
+    bool reports_placements = false;
     request_quarantine::options quarantine;
   };
 
@@ -102,7 +102,7 @@
     return std::exchange(placed_prefixes_, {});
   }
   /// Of the engines, the part that is kept for short prompts.
-  double short_part() const { return short_part_; }
+  double short_share() const { return short_share_; }
   /// This daemon's traffic of late, for its peers.
   prompt_mix OwnMix(time_point now) const;
   std::vector<upstream_backlog> ListBacklogs() {
@@ -123,21 +123,21 @@
   workspace_limiter& limiter() { return limiter_; }
   /// Returns the requests that wait for leave to be sent to an upstream with a
   /// limit, since the last call. Each gets an answer by `OnPermit`.
-  std::vector<permit_question> TakePermitQuestions() {
+  std::vector<permit_request> TakePermitRequests() {
     return std::exchange(permit_questions_, {});
   }
   /// Returns the permits that were granted and not used since the last call.
   std::vector<permit_return> TakeUnusedPermits() {
     return std::exchange(unused_permits_, {});
   }
-  void OnPermit(time_point now, const permit_answer& answer, action_list& out);
+  void OnPermit(time_point now, const permit_reply& answer, action_list& out);
   /// Learns what an upstream's answer says of its limit.
   upstream_limits::change OnLimit(time_point now,
                                   uint64_t upstream,
                                   time_point sent,
                                   const limit_notice& notice);
   /// Learns what a peer knows of an upstream's limit.
-  upstream_limits::change OnPeerLimit(time_point now, const limit_news& news);
+  upstream_limits::change OnPeerLimit(time_point now, const limit_update& news);
   /// Ends the limits that no answer has renewed for long; returns their
   /// upstreams.
   std::vector<uint64_t> ExpireLimits(time_point now);
@@ -146,9 +146,9 @@
   /// The upstream of \p attempt has begun to answer it.
   void OnAttemptAnswered(attempt_id attempt);
   /// The upstream of \p attempt refused it and wants no request for \p time.
-  void OnRestAsked(time_point now, attempt_id attempt, duration time);
+  void OnBackoffRequested(time_point now, attempt_id attempt, duration time);
   /// The upstream of \p attempt leaves. Returns whether that is news.
-  bool OnLeavingSaid(attempt_id attempt);
+  bool OnUpstreamLeaving(attempt_id attempt);
   /// Which requests crash upstreams. What peers and the store know of them goes
   /// in here.
   request_quarantine& quarantine() { return quarantine_; }
@@ -282,7 +282,7 @@
                       const placement& chosen,
                       action_list& out);
   /// The permit is not used; it is given back where there still is a limit.
-  void ReturnPermit(const permit_answer& answer);
+  void ReturnPermit(const permit_reply& answer);
   /// What is known of an upstream's limit changed.
   void NoteLimitChange(uint64_t upstream, upstream_limits::change what);
   void Dispatch(time_point now,
@@ -308,7 +308,7 @@
   static outcome JudgeRefused(const request& item);
   void ReportFinish(const request& item,
                     outcome result,
-                    const recorded_answer& answer,
+                    const recorded_response& answer,
                     action_list& out) const;
   void Erase(request_id id);
   std::span<const std::string> AllowedDomains(const request& item) const;
@@ -341,17 +341,17 @@
   replica_table replicas_;
   prefix_index prefixes_;
   copy_budget copy_budget_;
-  prompt_kinds kinds_;
+  prompt_length_classifier kinds_;
   /// The part of the engines that was kept for short prompts when the last one
   /// was placed.
-  double short_part_ = 0;
+  double short_share_ = 0;
   std::vector<placed_prefix> placed_prefixes_;
   wait_queue queue_;
   workspace_limiter limiter_;
   upstream_limits limits_;
   request_quarantine quarantine_;
   time_point next_quarantine_expiry_{};
-  std::vector<permit_question> permit_questions_;
+  std::vector<permit_request> permit_questions_;
   std::vector<permit_return> unused_permits_;
   std::map<std::string, retry_budget, std::less<>> retries_;
   /// The largest fleet seen; the part of a daemon that is away may be spent.
--- a/include/cuminswitch/Daemon/request_relay.h
+++ b/include/cuminswitch/Daemon/request_relay.h
@@ -53,7 +53,7 @@
 
   void Dispatch(const dispatch_attempt& action, http_client& client);
   /// Gives the caller the daemon's own answer.
-  void Answer(const answer_request& action);
+  void Answer(const local_response& action);
   /// The caller closed its connection; the attempt goes on until the core
   /// says otherwise.
   void OnCallerGone();
@@ -68,17 +68,17 @@
  private:
   void OnHeaders(const http_response_head& head) override;
   void OnData(std::string_view data) override;
-  void OnEnd(http_end end) override;
+  void OnEnd(http_result end) override;
 
   void RelayStreamData(std::string_view data);
   void Keep(std::string_view data);
-  void EndStream(http_end end);
-  void EndWhole(http_end end);
+  void EndStream(http_result end);
+  void EndWhole(http_result end);
   /// Tells the core how the attempt ended.
   void ReportEnd(attempt_ended event);
   attempt_ended MakeAnswered() const;
   bool IsStream() const { return is_stream_; }
-  void SendErrorEvent(const answer_request& action);
+  void SendErrorEvent(const local_response& action);
 
   options options_;
   relay_observer& observer_;
--- a/include/cuminswitch/Edge/edge_protocol.h
+++ b/include/cuminswitch/Edge/edge_protocol.h
@@ -31,7 +31,7 @@
   std::string path;
   std::string credential;
   /// How long the caller will wait; nothing when it does not say.
-  std::optional<duration> patience;
+  std::optional<duration> max_wait;
   std::string model;
   std::vector<prompt_part> parts;
   uint32_t prompt_tokens = 0;
@@ -60,13 +60,13 @@
 };
 
 /// The load that an upstream tells with an answer.
-struct told_load {
+struct reported_load {
   uint32_t running = 0;
   uint32_t waiting = 0;
 };
 
 /// What an upstream's head says.
-struct answer_attributes {
+struct response_attributes {
   /// The attempt that it answers; empty where it does not say.
   std::string attempt;
   /// The upstream states that it did not run the request.
@@ -75,10 +75,10 @@
   bool is_mismatch = false;
   /// An upstream made this answer.
   bool is_signed = false;
-  std::optional<told_load> load;
+  std::optional<reported_load> load;
   /// The rate that the upstream takes, where it is in need.
   limit_notice limit;
-  rest_notice rest;
+  backoff_notice backoff;
   /// The upstream leaves: it is to get nothing new.
   bool is_leaving = false;
 };
@@ -91,7 +91,7 @@
   virtual http_headers WriteRequest(
       const message_head& head,
       const dispatch_attributes& attributes) const = 0;
-  virtual answer_attributes ReadAnswer(const message_head& head) const = 0;
+  virtual response_attributes ReadAnswer(const message_head& head) const = 0;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Edge/edge_task.h
+++ b/include/cuminswitch/Edge/edge_task.h
@@ -16,10 +16,10 @@
 #include "cuminswitch/Edge/edge_metrics.h"
 #include "cuminswitch/Edge/edge_protocol.h"
 #include "cuminswitch/Edge/graceful_stop.h"
-#include "cuminswitch/Edge/limit_gate.h"
-#include "cuminswitch/Edge/quota_gate.h"
+#include "cuminswitch/Edge/quota_admission.h"
 #include "cuminswitch/Edge/request_flow.h"
-#include "cuminswitch/Edge/weights_census.h"
+#include "cuminswitch/Edge/upstream_limit_admission.h"
+#include "cuminswitch/Edge/weights_version_counter.h"
 #include "cuminswitch/Fleet/fleet_message.h"
 #include "cuminswitch/Http1/caller_server.h"
 #include "cuminswitch/Http1/upstream_pool.h"
@@ -32,7 +32,7 @@
 class kernel;
 
 /// What the edge is told.
-using edge_message = fleet_news;
+using edge_message = fleet_event;
 
 /// Reads requests, lets the router decide, and carries its decisions out. The
 /// router runs in this task: a decision is a call, not a message.
@@ -84,24 +84,24 @@
  private:
   void OnRequest(caller_exchange& exchange) override;
   void OnFlowEvent(core_event event) override;
-  void OnFlowNotices(const request_flow& flow,
-                     const answer_notices& notices) override;
+  void OnFlowFeedback(const request_flow& flow,
+                      const upstream_feedback& notices) override;
   void OnFlowAttemptFailed(const request_flow& flow,
-                           attempt_answer answer,
+                           attempt_result answer,
                            uint32_t status) override;
-  void OnFlowBroken(const endpoint& address) override;
+  void OnConnectionLost(const endpoint& address) override;
   bool CanPlaceElsewhere(const request_flow& flow) override;
-  void OnFlowEnd(request_flow& flow, const flow_end& end) override;
+  void OnFlowEnd(request_flow& flow, const flow_result& end) override;
   const member* FindOwner(shard_number shard) const override;
   size_t CountServing() const override;
 
   /// Takes in what an answer says of its upstream's limit.
   void TakeLimit(const request_flow& flow, const limit_notice& notice);
   /// Takes in for how long an upstream that refused wants nothing more.
-  void TakeRest(const request_flow& flow, const rest_notice& notice);
+  void TakeRest(const request_flow& flow, const backoff_notice& notice);
   /// Takes in that an upstream leaves.
   void TakeLeaving(const request_flow& flow);
-  void Take(const knowledge_changed& news);
+  void Take(const fleet_snapshot_changed& news);
   void Take(const upstreams_changed& news);
   /// Brings the plan and the newest weights into force.
   void ApplyPlan(time_point now, action_list& actions);
@@ -118,25 +118,25 @@
   void Take(const peer_placements& news);
   void Take(const peer_limits& news);
   void Take(const peer_quarantine& news);
-  void Take(const quota_ask& ask);
-  void Take(const quota_verdict& verdict);
+  void Take(const quota_query& ask);
+  void Take(const quota_reply& verdict);
   /// Lets the peers know what this daemon's requests wait for.
   void TellPlacements();
 
   /// Answers what is not forwarded; returns the status that it got, or 0.
   uint32_t CheckRequest(const caller_request& request,
                         const route_spec*& route,
-                        const workspace_plan*& workspace) const;
+                        const workspace_config*& workspace) const;
   void BeginFlow(caller_exchange& exchange,
                  caller_request request,
                  const route_spec& route,
-                 const workspace_plan* workspace);
+                 const workspace_config* workspace);
   /// Sends what the quotas have to say and carries out what they decided.
   void SettleQuotas(time_point now);
   void TellQuotasOfFleet(time_point now);
   /// Sends what \p policy has to say to other daemons.
   void SendQuotaMessages(quota_policy& policy);
-  void SettleQuota(time_point now, quota_gate::decided_request decided);
+  void SettleQuota(time_point now, quota_admission::admission_result decided);
   void HandToRouter(time_point now, const core_event& event);
   void Perform(time_point now, const action_list& actions);
   void Perform(time_point now, const dispatch_attempt& action);
@@ -151,8 +151,9 @@
   /// Asks about the requests that wait for an upstream with a limit, and
   /// carries out what is decided.
   void SettleLimits(time_point now);
-  void TakeLimitAsk(time_point now, quota_ask ask);
-  void SettleLimit(time_point now, const limit_gate::decided_question& decided);
+  void TakeLimitAsk(time_point now, quota_query ask);
+  void SettleLimit(time_point now,
+                   const upstream_limit_admission::permit_result& decided);
   /// Lets the peers know what upstreams told this daemon.
   void TellLimits(time_point now);
   /// Lets the peers and the store know which requests crash upstreams.
@@ -177,9 +178,9 @@
   std::unique_ptr<caller_server> server_;
   loop_timer tick_timer_;
   loop_timer stop_timer_;
-  std::shared_ptr<const fleet_knowledge> knowledge_;
+  std::shared_ptr<const fleet_snapshot> knowledge_;
   std::map<endpoint, upstream_ref> upstreams_by_address_;
-  weights_census held_weights_;
+  weights_version_counter held_weights_;
   size_t unreadable_upstreams_ = 0;
   bool is_stale_ = false;
   std::vector<daemon_record> peers_;
@@ -196,8 +197,8 @@
   uint64_t told_refused_ = 0;
   std::unordered_map<request_id, std::unique_ptr<request_flow>> flows_;
   request_id next_request_ = 0;
-  quota_gate quotas_;
-  limit_gate limits_;
+  quota_admission quotas_;
+  upstream_limit_admission limits_;
   bool told_limits_ = false;
   bool told_quarantine_ = false;
   edge_metrics metrics_;
--- a/include/cuminswitch/Edge/quota_gate.h
+++ b/include/cuminswitch/Edge/quota_admission.h
@@ -1,7 +1,7 @@
 /// \file
 /// Where requests wait to hear whether they are within their quota.
-#ifndef CUMINSWITCH_EDGE_QUOTA_GATE_H_
-#define CUMINSWITCH_EDGE_QUOTA_GATE_H_
+#ifndef CUMINSWITCH_EDGE_QUOTA_ADMISSION_H_
+#define CUMINSWITCH_EDGE_QUOTA_ADMISSION_H_
 
 #include <cstdint>
 #include <map>
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "cuminswitch/Admission/quota_policy.h"
-#include "cuminswitch/Fleet/route_plan.h"
+#include "cuminswitch/Fleet/routing_config.h"
 #include "cuminswitch/Protocol/core_event.h"
 
 namespace cuminswitch {
@@ -30,18 +30,18 @@
 
 /// Weighs each request once, asks the policy about it, charges each of its runs
 /// at an upstream, and gives back what is known not to have run.
-class quota_gate {
+class quota_admission {
  public:
   /// A request about which it was decided.
-  struct decided_request {
+  struct admission_result {
     request_arrived arrival;
     quota_request item;
     quota_decision decision;
   };
   /// A request before its decision.
-  struct question {
+  struct admission_query {
     request_arrived arrival;
-    const quota_plan& quota;
+    const quota_config& quota;
     /// Of the configuration that holds the quota.
     uint64_t version = 0;
     /// Tokens that it reads and may write; 0 where it does not say.
@@ -51,13 +51,13 @@
     duration time_left{0};
   };
 
-  explicit quota_gate(std::unique_ptr<quota_policy> policy)
+  explicit quota_admission(std::unique_ptr<quota_policy> policy)
       : policy_(std::move(policy)) {}
 
   quota_policy& policy() { return *policy_; }
-  void Ask(time_point now, const question& asked);
+  void Ask(time_point now, const admission_query& asked);
   /// Returns the requests that were decided about since the last call.
-  std::vector<decided_request> TakeDecided();
+  std::vector<admission_result> TakeDecided();
   /// The request has \p runs runs that may count; further ones are charged.
   void OnRuns(time_point now, request_id id, uint32_t runs);
   /// The request ended after \p runs runs; what was charged beyond is given
@@ -86,4 +86,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_EDGE_QUOTA_GATE_H_
+#endif  // CUMINSWITCH_EDGE_QUOTA_ADMISSION_H_
--- a/include/cuminswitch/Edge/request_flow.h
+++ b/include/cuminswitch/Edge/request_flow.h
@@ -7,11 +7,11 @@
 #include <optional>
 #include <string>
 
-#include "cuminswitch/Edge/answer_notices.h"
-#include "cuminswitch/Edge/attempt_verdict.h"
+#include "cuminswitch/Edge/attempt_disposition.h"
 #include "cuminswitch/Edge/edge_protocol.h"
 #include "cuminswitch/Edge/event_splitter.h"
-#include "cuminswitch/Fleet/route_plan.h"
+#include "cuminswitch/Edge/upstream_feedback.h"
+#include "cuminswitch/Fleet/routing_config.h"
 #include "cuminswitch/Http1/caller_exchange.h"
 #include "cuminswitch/Http1/upstream_call.h"
 #include "cuminswitch/Net/loop_timer.h"
@@ -27,7 +27,7 @@
 class upstream_pool;
 
 /// How a request ended for its caller, for logs and counts.
-struct flow_end {
+struct flow_result {
   outcome result = outcome::kUnknown;
   /// 0 when the connection was cut.
   uint32_t status = 0;
@@ -44,17 +44,17 @@
   virtual ~flow_owner() = default;
   virtual void OnFlowEvent(core_event event) = 0;
   /// The upstream of the present attempt said something of itself.
-  virtual void OnFlowNotices(const request_flow& flow,
-                             const answer_notices& notices) = 0;
+  virtual void OnFlowFeedback(const request_flow& flow,
+                              const upstream_feedback& notices) = 0;
   /// An attempt ended otherwise than with success.
   virtual void OnFlowAttemptFailed(const request_flow& flow,
-                                   attempt_answer answer,
+                                   attempt_result answer,
                                    uint32_t status) = 0;
   /// A connection to \p address broke; others to it may be dead too.
-  virtual void OnFlowBroken(const endpoint& address) = 0;
+  virtual void OnConnectionLost(const endpoint& address) = 0;
   /// Whether a request whose upstream is silent could go to another one now.
   virtual bool CanPlaceElsewhere(const request_flow& flow) = 0;
-  virtual void OnFlowEnd(request_flow& flow, const flow_end& end) = 0;
+  virtual void OnFlowEnd(request_flow& flow, const flow_result& end) = 0;
 };
 
 /// Carries out what the router decides about one request: sends attempts, and
@@ -66,7 +66,7 @@
     caller_exchange* exchange = nullptr;
     caller_request request;
     /// Kept alive with the flow.
-    std::shared_ptr<const route_plan> plan;
+    std::shared_ptr<const routing_config> plan;
     const route_spec* route = nullptr;
     std::string workspace;
     uint32_t rank = 0;
@@ -91,7 +91,7 @@
   void Start();
   void Dispatch(time_point now, const dispatch_attempt& action);
   /// The router has no further upstream for it.
-  void GiveUp(const answer_request& action);
+  void GiveUp(const local_response& action);
   /// Stops the present attempt.
   void CancelAttempt();
 
@@ -102,7 +102,7 @@
   time_point deadline() const { return options_.deadline; }
   bool has_ended() const { return has_ended_; }
   const caller_request& request() const { return options_.request; }
-  const route_plan& plan() const { return *options_.plan; }
+  const routing_config& plan() const { return *options_.plan; }
   const route_spec& route() const { return *options_.route; }
   const std::string& workspace() const { return options_.workspace; }
   const hash128& digest() const { return options_.digest; }
@@ -117,9 +117,9 @@
  private:
   void OnCallerGone() override;
   void OnCallerDrained() override;
-  void OnAnswerHead(const message_head& head) override;
-  void OnAnswerBody(std::string_view data) override;
-  void OnCallEnd(call_end end) override;
+  void OnResponseHead(const message_head& head) override;
+  void OnResponseBody(std::string_view data) override;
+  void OnCallEnd(upstream_call_result end) override;
 
   void OnDeadline();
   /// The upstream has been silent for long.
@@ -127,23 +127,23 @@
   void AwaitBytes();
   /// After how long a silent upstream is left for another.
   duration StallTime() const;
-  attempt_answer Classify(call_end end) const;
-  void Judge(attempt_answer answer);
-  void TellRouter(attempt_answer answer, const attempt_verdict& verdict);
+  attempt_result Classify(upstream_call_result end) const;
+  void Judge(attempt_result answer);
+  void TellRouter(attempt_result answer, const attempt_disposition& verdict);
   bool IsForwarding() const;
   void Forward(std::string_view data);
   void SendAnswerHead(std::optional<uint64_t> length);
   void DeliverWhole();
   void DeliverKept();
   /// Answers in this daemon's own name, as \p end says.
-  void ReplyOwn(const flow_end& end);
+  void ReplyOwn(const flow_result& end);
   void CutOff(std::string_view reason);
-  void End(const flow_end& end);
+  void End(const flow_result& end);
 
   /// An answer of the present attempt.
   struct answer_state {
     message_head head;
-    answer_attributes attributes;
+    response_attributes attributes;
     std::string body;
   };
 
--- a/include/cuminswitch/Edge/request_log.h
+++ b/include/cuminswitch/Edge/request_log.h
@@ -6,8 +6,8 @@
 #include <cstdint>
 #include <string_view>
 
-#include "cuminswitch/Edge/attempt_verdict.h"
-#include "cuminswitch/Edge/limit_gate.h"
+#include "cuminswitch/Edge/attempt_disposition.h"
+#include "cuminswitch/Edge/upstream_limit_admission.h"
 #include "cuminswitch/Log/event_log.h"
 #include "cuminswitch/Support/time.h"
 
@@ -15,7 +15,7 @@
 
 class request_flow;
 struct dispatch_attempt;
-struct flow_end;
+struct flow_result;
 struct quota_decision;
 struct quota_request;
 
@@ -25,13 +25,13 @@
                            const dispatch_attempt& action);
 /// That an attempt ended otherwise than with success.
 log_line DescribeAttemptFailure(const request_flow& flow,
-                                attempt_answer answer,
+                                attempt_result answer,
                                 uint32_t status);
 /// How a request ended for its caller; of a refusal for lateness, from what it
 /// was decided.
 log_line DescribeEnd(time_point now,
                      const request_flow& flow,
-                     const flow_end& end);
+                     const flow_result& end);
 /// That a request is over its workspace's quota, and what that was decided
 /// from.
 log_line DescribeQuotaRefusal(const request_flow& flow,
@@ -42,7 +42,7 @@
 /// was decided from.
 log_line DescribePermit(const request_flow& flow,
                         std::string_view upstream,
-                        const limit_gate::decided_question& decided);
+                        const upstream_limit_admission::permit_result& decided);
 
 }  // namespace cuminswitch
 
--- a/include/cuminswitch/Edge/plan_translator.h
+++ b/include/cuminswitch/Edge/routing_config_translator.h
@@ -1,7 +1,7 @@
 /// \file
 /// From what is known of a deployment to the router's configuration.
-#ifndef CUMINSWITCH_EDGE_PLAN_TRANSLATOR_H_
-#define CUMINSWITCH_EDGE_PLAN_TRANSLATOR_H_
+#ifndef CUMINSWITCH_EDGE_ROUTING_CONFIG_TRANSLATOR_H_
+#define CUMINSWITCH_EDGE_ROUTING_CONFIG_TRANSLATOR_H_
 
 #include <memory>
 #include <string>
@@ -10,11 +10,11 @@
 
 #include "cuminswitch/Config/configuration.h"
 #include "cuminswitch/Core/request_router.h"
-#include "cuminswitch/Fleet/fleet_knowledge.h"
+#include "cuminswitch/Fleet/fleet_snapshot.h"
 
 namespace cuminswitch {
 
-class weights_census;
+class weights_version_counter;
 
 /// The router's name for a model at a service, or for the service itself where
 /// \p model is empty. Two services may serve one model, each with its own
@@ -25,9 +25,9 @@
 /// known. A model's version is the newest of those named and of those that
 /// \p held says upstreams have: that an upstream has one only shows that its
 /// naming is known there and not yet here.
-std::shared_ptr<const configuration> TranslatePlan(
-    const fleet_knowledge& knowledge,
-    const weights_census& held);
+std::shared_ptr<const configuration> TranslateRoutingConfig(
+    const fleet_snapshot& knowledge,
+    const weights_version_counter& held);
 
 /// The upstream as the router knows it; its report is what the router would
 /// have learnt by asking.
@@ -38,4 +38,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_EDGE_PLAN_TRANSLATOR_H_
+#endif  // CUMINSWITCH_EDGE_ROUTING_CONFIG_TRANSLATOR_H_
--- a/include/cuminswitch/Edge/answer_notices.h
+++ b/include/cuminswitch/Edge/upstream_feedback.h
@@ -1,7 +1,7 @@
 /// \file
 /// Which notices of an upstream's answer count.
-#ifndef CUMINSWITCH_EDGE_ANSWER_NOTICES_H_
-#define CUMINSWITCH_EDGE_ANSWER_NOTICES_H_
+#ifndef CUMINSWITCH_EDGE_UPSTREAM_FEEDBACK_H_
+#define CUMINSWITCH_EDGE_UPSTREAM_FEEDBACK_H_
 
 #include <optional>
 #include <string_view>
@@ -11,12 +11,12 @@
 namespace cuminswitch {
 
 /// What is to be believed of what an answer says of its upstream.
-struct answer_notices {
-  std::optional<told_load> load;
+struct upstream_feedback {
+  std::optional<reported_load> load;
   /// The upstream's limit, or that it has none.
   std::optional<limit_notice> limit;
   /// For how long the upstream wants nothing more.
-  std::optional<rest_notice> rest;
+  std::optional<backoff_notice> backoff;
   bool is_leaving = false;
   /// The upstream runs the request, so it lives.
   bool has_run = false;
@@ -24,9 +24,9 @@
 
 /// Chooses what counts of \p said, the head of an answer on the connection of
 /// the attempt \p attempt.
-answer_notices ChooseNotices(const answer_attributes& said,
-                             std::string_view attempt);
+upstream_feedback SelectFeedback(const response_attributes& said,
+                                 std::string_view attempt);
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_EDGE_ANSWER_NOTICES_H_
+#endif  // CUMINSWITCH_EDGE_UPSTREAM_FEEDBACK_H_
--- a/include/cuminswitch/Fleet/fleet_message.h
+++ b/include/cuminswitch/Fleet/fleet_message.h
@@ -8,10 +8,10 @@
 #include <variant>
 #include <vector>
 
-#include "cuminswitch/Fleet/fleet_knowledge.h"
+#include "cuminswitch/Fleet/fleet_snapshot.h"
 #include "cuminswitch/Fleet/peer_frame.h"
 #include "cuminswitch/Fleet/upstream_directory.h"
-#include "cuminswitch/Protocol/crash_news.h"
+#include "cuminswitch/Protocol/crash_report.h"
 #include "cuminswitch/Protocol/upstream_notice.h"
 #include "cuminswitch/Support/time.h"
 
@@ -32,16 +32,16 @@
 };
 /// What upstreams told this daemon of the rate that they take.
 struct own_limits {
-  std::vector<limit_news> limits;
+  std::vector<limit_update> limits;
   /// As of when their ages are.
   time_point at{};
 };
 /// What this daemon knows of requests that may crash upstreams.
 struct own_quarantine {
   /// Learnt since it last told.
-  quarantine_news news;
+  quarantine_update update;
   /// What peers may have missed.
-  std::vector<crash_news> standing;
+  std::vector<crash_report> active_crashes;
   /// What has to be known also when no daemon of now is left.
   std::vector<quarantine_record> quarantined;
   /// As of when the ages are.
@@ -52,11 +52,11 @@
                                    own_placements,
                                    own_limits,
                                    own_quarantine,
-                                   quota_send>;
+                                   outgoing_quota_message>;
 
 /// What is known of the deployment changed.
-struct knowledge_changed {
-  std::shared_ptr<const fleet_knowledge> knowledge;
+struct fleet_snapshot_changed {
+  std::shared_ptr<const fleet_snapshot> knowledge;
 };
 /// Some of the upstreams in use changed.
 struct upstreams_changed {
@@ -68,24 +68,24 @@
 };
 /// The living peers, or what they say of themselves, changed.
 struct peers_changed {
-  std::vector<daemon_record> living;
+  std::vector<daemon_record> alive;
   /// Daemons of the deployment, dead ones and this one included.
   size_t known = 1;
   /// Those of them that may be at work, although nothing is heard of some.
-  size_t maybe_at_work = 1;
+  size_t possibly_active = 1;
   /// Within this time of a change all know of it.
-  duration notice_time{0};
+  duration convergence_time{0};
   /// This daemon beats only some of its peers, and they pass on what it tells.
   bool is_partial = false;
 };
 /// What upstreams told a peer of the rate that they take.
 struct peer_limits {
   std::string peer;
-  std::vector<limit_news> limits;
+  std::vector<limit_update> limits;
 };
 /// What a peer knows of requests that may crash upstreams.
 struct peer_quarantine {
-  quarantine_news news;
+  quarantine_update update;
 };
 /// Whether it is unknown for a while if the store holds something newer.
 struct items_staleness {
@@ -95,16 +95,16 @@
 struct weights_changing {
   std::vector<std::string> upstreams;
 };
-using fleet_news = std::variant<knowledge_changed,
-                                upstreams_changed,
-                                peers_changed,
-                                weights_changing,
-                                items_staleness,
-                                peer_placements,
-                                peer_limits,
-                                peer_quarantine,
-                                quota_ask,
-                                quota_verdict>;
+using fleet_event = std::variant<fleet_snapshot_changed,
+                                 upstreams_changed,
+                                 peers_changed,
+                                 weights_changing,
+                                 items_staleness,
+                                 peer_placements,
+                                 peer_limits,
+                                 peer_quarantine,
+                                 quota_query,
+                                 quota_reply>;
 
 /// The names of the services, for the kernel's registry.
 inline constexpr std::string_view kFleetService = "fleet";
--- a/include/cuminswitch/Fleet/fleet_knowledge.h
+++ b/include/cuminswitch/Fleet/fleet_snapshot.h
@@ -1,7 +1,7 @@
 /// \file
 /// What a daemon knows of the deployment, decoded.
-#ifndef CUMINSWITCH_FLEET_FLEET_KNOWLEDGE_H_
-#define CUMINSWITCH_FLEET_FLEET_KNOWLEDGE_H_
+#ifndef CUMINSWITCH_FLEET_FLEET_SNAPSHOT_H_
+#define CUMINSWITCH_FLEET_FLEET_SNAPSHOT_H_
 
 #include <cstdint>
 #include <memory>
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "cuminswitch/Fleet/item_view.h"
-#include "cuminswitch/Fleet/route_plan.h"
+#include "cuminswitch/Fleet/routing_config.h"
 #include "cuminswitch/Support/endpoint.h"
 #include "cuminswitch/Support/hash.h"
 
@@ -47,7 +47,7 @@
 using upstream_ref = std::shared_ptr<const upstream_entry>;
 
 /// What the store says of one upstream now.
-struct upstream_news {
+struct upstream_entry_update {
   std::string id;
   /// Null where it has no entry that can be read.
   upstream_ref entry;
@@ -65,9 +65,9 @@
 };
 
 /// What is known besides the upstreams. Immutable once published.
-struct fleet_knowledge {
+struct fleet_snapshot {
   /// Null until a configuration is known.
-  std::shared_ptr<const route_plan> plan;
+  std::shared_ptr<const routing_config> plan;
   std::vector<weights_version> wanted_weights;
   std::vector<daemon_entry> daemons;
   /// Digests of requests that are kept away from upstreams.
@@ -80,17 +80,17 @@
 /// What changed items say that was not known before.
 struct decoded_items {
   /// Null where all of it is as it was.
-  std::shared_ptr<const fleet_knowledge> knowledge;
-  std::vector<upstream_news> upstreams;
+  std::shared_ptr<const fleet_snapshot> knowledge;
+  std::vector<upstream_entry_update> upstreams;
   /// The keys that said so.
-  std::vector<std::string> news;
+  std::vector<std::string> changed_keys;
 };
 
 /// Turns stored items into knowledge. It keeps what it decoded, and visits only
 /// what changed.
-class knowledge_decoder {
+class fleet_snapshot_decoder {
  public:
-  virtual ~knowledge_decoder() = default;
+  virtual ~fleet_snapshot_decoder() = default;
   /// Takes in the items under \p keys as \p view has them; those that it lacks
   /// are forgotten.
   virtual decoded_items Decode(const item_view& view,
@@ -99,4 +99,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_FLEET_FLEET_KNOWLEDGE_H_
+#endif  // CUMINSWITCH_FLEET_FLEET_SNAPSHOT_H_
--- a/include/cuminswitch/Fleet/fleet_task.h
+++ b/include/cuminswitch/Fleet/fleet_task.h
@@ -8,18 +8,18 @@
 #include <string>
 #include <vector>
 
-#include "cuminswitch/Fleet/crash_bulletin.h"
+#include "cuminswitch/Fleet/crash_update_queue.h"
 #include "cuminswitch/Fleet/fleet_message.h"
-#include "cuminswitch/Fleet/item_feed.h"
 #include "cuminswitch/Fleet/item_list_cache.h"
-#include "cuminswitch/Fleet/lapsed_upstreams.h"
+#include "cuminswitch/Fleet/item_watcher.h"
+#include "cuminswitch/Fleet/items_request_tracker.h"
 #include "cuminswitch/Fleet/leader_election.h"
-#include "cuminswitch/Fleet/peer_news.h"
-#include "cuminswitch/Fleet/peer_roster.h"
+#include "cuminswitch/Fleet/peer_table.h"
+#include "cuminswitch/Fleet/peer_update_log.h"
 #include "cuminswitch/Fleet/quarantine_records.h"
-#include "cuminswitch/Fleet/question_pacer.h"
 #include "cuminswitch/Fleet/staleness_tracker.h"
-#include "cuminswitch/Fleet/store_duty.h"
+#include "cuminswitch/Fleet/store_follower_policy.h"
+#include "cuminswitch/Fleet/store_outage_tracker.h"
 #include "cuminswitch/Fleet/upstream_directory.h"
 #include "cuminswitch/Fleet/weights_rollout.h"
 #include "cuminswitch/Kernel/loop_task.h"
@@ -52,7 +52,7 @@
   /// What the task works with; all of it outlives the task.
   struct parts {
     item_store& store;
-    knowledge_decoder& decoder;
+    fleet_snapshot_decoder& decoder;
     engine_control& engines;
     event_log& log;
   };
@@ -71,13 +71,13 @@
 
  private:
   bool OnFrame(std::span<const uint8_t> frame) override;
-  void OnBeat(const beat_frame& beat);
+  void OnBeat(const heartbeat_frame& beat);
   void OnItemsRequest(const items_request_frame& request);
   void OnItemsReply(const items_reply_frame& reply);
 
   void OnTick();
   void OnItemsChanged(std::span<const std::string> keys);
-  void Publish(std::shared_ptr<const fleet_knowledge> next);
+  void Publish(std::shared_ptr<const fleet_snapshot> next);
   void PublishUpstreams();
   void DecideFollowing(time_point now);
   void RegisterSelf();
@@ -111,27 +111,27 @@
   const kernel& services_;
   options options_;
   parts with_;
-  peer_roster roster_;
-  item_feed feed_;
+  peer_table roster_;
+  item_watcher feed_;
   leader_election election_;
   weights_rollout rollout_;
   staleness_tracker staleness_;
-  store_duty duty_;
-  lapsed_upstreams lapsed_;
+  store_follower_policy duty_;
+  store_outage_tracker lapsed_;
   quarantine_records quarantine_records_;
   std::unique_ptr<peer_transport> transport_;
   loop_timer beat_timer_;
   loop_timer rollout_timer_;
-  std::shared_ptr<const fleet_knowledge> knowledge_;
+  std::shared_ptr<const fleet_snapshot> knowledge_;
   upstream_directory upstreams_;
   std::vector<upstream_backlog> own_backlogs_;
   prompt_mix own_mix_;
   own_limits own_limits_;
   std::vector<quarantine_record> quarantined_;
-  crash_bulletin crash_bulletin_;
+  crash_update_queue crash_bulletin_;
   /// A daemon places up to 20 prefixes in a second and reaches each peer of a
   /// fleet that it goes through within 1.5 s, and each partner within 2 s.
-  peer_news<placed_prefix, 256> placement_news_;
+  peer_update_log<placed_prefix, 256> placement_news_;
   std::vector<std::string> leader_changing_;
   std::vector<std::string> published_changing_;
   time_point leader_changing_at_{};
@@ -146,7 +146,7 @@
   list_changes kept_changes_;
   /// The return of the store that the log was last told to be awaited.
   uint64_t logged_return_ = 0;
-  question_pacer questions_;
+  items_request_tracker questions_;
   item_list_cache complete_list_;
   time_point next_registration_{};
   bool is_stale_ = false;
--- a/include/cuminswitch/Fleet/question_pacer.h
+++ b/include/cuminswitch/Fleet/items_request_tracker.h
@@ -1,7 +1,7 @@
 /// \file
 /// When a daemon asks its peers for items again.
-#ifndef CUMINSWITCH_FLEET_QUESTION_PACER_H_
-#define CUMINSWITCH_FLEET_QUESTION_PACER_H_
+#ifndef CUMINSWITCH_FLEET_ITEMS_REQUEST_TRACKER_H_
+#define CUMINSWITCH_FLEET_ITEMS_REQUEST_TRACKER_H_
 
 #include <cstdint>
 #include <string>
@@ -16,7 +16,7 @@
 /// thousands of upstreams, and a slow link needs longer for it than the
 /// interval between questions. Asked again meanwhile, a peer would send the
 /// same list again and again, and hold all of them in memory.
-class question_pacer {
+class items_request_tracker {
  public:
   bool MayAsk(time_point now) const;
   void OnAsked(time_point now, std::string peer);
@@ -38,4 +38,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_FLEET_QUESTION_PACER_H_
+#endif  // CUMINSWITCH_FLEET_ITEMS_REQUEST_TRACKER_H_
--- a/include/cuminswitch/Fleet/member_bulletin.h
+++ b/include/cuminswitch/Fleet/member_update_queue.h
@@ -1,7 +1,7 @@
 /// \file
 /// News of members that go from daemon to daemon.
-#ifndef CUMINSWITCH_FLEET_MEMBER_BULLETIN_H_
-#define CUMINSWITCH_FLEET_MEMBER_BULLETIN_H_
+#ifndef CUMINSWITCH_FLEET_MEMBER_UPDATE_QUEUE_H_
+#define CUMINSWITCH_FLEET_MEMBER_UPDATE_QUEUE_H_
 
 #include <cstddef>
 #include <map>
@@ -18,25 +18,25 @@
 /// times. Each daemon that learns something tells others of it, so that news
 /// reach a fleet of any size within a few rounds of beats, at a cost that does
 /// not depend on the size.
-class member_bulletin {
+class member_update_queue {
  public:
   /// Times that one daemon tells of a member that serves. With sixteen, one
   /// daemon in nine million hears nothing of it at first, and is told in turn.
-  static constexpr size_t kTellings = 16;
+  static constexpr size_t kSendCount = 16;
   /// Times that one daemon tells of a member that is suspected or leaves.
   /// Callers must not be sent there. Half of those that are told may have died
   /// with it.
-  static constexpr size_t kDepartureTellings = 24;
+  static constexpr size_t kDepartureSendCount = 24;
 
   /// Takes in \p news in place of what is kept of that member.
-  void Add(const member_news& news);
+  void Add(const member_update& news);
   /// Returns up to \p count for one beat, those told least first.
-  std::vector<member_news> Take(size_t count);
+  std::vector<member_update> Take(size_t count);
   bool IsEmpty() const { return kept_.empty(); }
 
  private:
   struct kept_news {
-    member_news news;
+    member_update news;
     size_t tellings = 0;
   };
 
@@ -47,4 +47,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_FLEET_MEMBER_BULLETIN_H_
+#endif  // CUMINSWITCH_FLEET_MEMBER_UPDATE_QUEUE_H_
--- a/include/cuminswitch/Fleet/peer_frame.h
+++ b/include/cuminswitch/Fleet/peer_frame.h
@@ -15,7 +15,7 @@
 #include "cuminswitch/Fleet/item_view.h"
 #include "cuminswitch/Fleet/staleness_tracker.h"
 #include "cuminswitch/Protocol/core_event.h"
-#include "cuminswitch/Protocol/crash_news.h"
+#include "cuminswitch/Protocol/crash_report.h"
 #include "cuminswitch/Protocol/quota_message.h"
 #include "cuminswitch/Protocol/upstream_notice.h"
 #include "cuminswitch/Support/endpoint.h"
@@ -24,7 +24,7 @@
 
 /// The store was away for all daemons and is back, so that entries of upstreams
 /// are missing that live.
-struct awaited_entries {
+struct store_recovery {
   /// Names the return of the store, as one daemon saw it; 0 for none.
   uint64_t event = 0;
   /// For how much longer entries may be missing.
@@ -32,8 +32,8 @@
   /// The store's at its return. What was removed later has not lapsed.
   revision_number revision = 0;
 
-  friend bool operator==(const awaited_entries&,
-                         const awaited_entries&) = default;
+  friend bool operator==(const store_recovery&,
+                         const store_recovery&) = default;
 };
 
 /// One daemon as it describes itself.
@@ -52,13 +52,13 @@
   bool is_leaving = false;
   /// The store answered it just now.
   bool has_store = false;
-  awaited_entries awaits;
+  store_recovery recovery;
   /// Everything up to this revision of the store is known to it.
   revision_number revision = 0;
 };
 
 /// What one daemon tells another of a third one.
-struct member_news {
+struct member_update {
   /// As the third one described itself; of one that is suspected only the name,
   /// the incarnation and the version count.
   daemon_record record;
@@ -67,11 +67,11 @@
 };
 
 /// Sent to peers all the time; the lack of beats shows that a daemon is gone.
-struct beat_frame {
+struct heartbeat_frame {
   daemon_record sender;
   /// Peers that the sender has heard just now, so that a daemon finds others
   /// without the store.
-  std::vector<endpoint> heard;
+  std::vector<endpoint> recent_peers;
   /// Upstreams whose weights the sender, as the leader, is changing.
   std::vector<std::string> changing;
   /// What the sender's requests wait for.
@@ -81,14 +81,14 @@
   /// The sender's traffic of late.
   prompt_mix mix;
   /// What upstreams told the sender of the rate that they take.
-  std::vector<limit_news> limits;
+  std::vector<limit_update> limits;
   /// What the sender knows of requests that may crash upstreams.
-  quarantine_news quarantine;
+  quarantine_update quarantine;
   /// The receiver is to watch the sender, which beats it in every round.
   bool is_watched = false;
-  std::vector<member_news> members;
+  std::vector<member_update> members;
   /// When the sender's items were last known to be complete.
-  std::optional<store_evidence> evidence;
+  std::optional<freshness_record> freshness;
 };
 
 /// Asks for what changed after a revision.
@@ -104,11 +104,11 @@
   std::vector<item_change> items;
 };
 
-using peer_frame = std::variant<beat_frame,
+using peer_frame = std::variant<heartbeat_frame,
                                 items_request_frame,
                                 items_reply_frame,
-                                quota_ask,
-                                quota_verdict>;
+                                quota_query,
+                                quota_reply>;
 
 std::string EncodePeerFrame(const peer_frame& frame);
 /// Returns nothing for bytes that are no frame.
--- a/include/cuminswitch/Fleet/peer_news.h
+++ b/include/cuminswitch/Fleet/peer_update_log.h
@@ -1,7 +1,7 @@
 /// \file
 /// What each peer is still to be told.
-#ifndef CUMINSWITCH_FLEET_PEER_NEWS_H_
-#define CUMINSWITCH_FLEET_PEER_NEWS_H_
+#ifndef CUMINSWITCH_FLEET_PEER_UPDATE_LOG_H_
+#define CUMINSWITCH_FLEET_PEER_UPDATE_LOG_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -19,7 +19,7 @@
 /// latest round's news in each beat, a peer would learn one in four. Keeps, and
 /// so tells in one frame, at most \p Capacity.
 template <class Item, size_t Capacity>
-class peer_news {
+class peer_update_log {
  public:
   static constexpr size_t kCapacity = Capacity;
 
@@ -60,4 +60,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_FLEET_PEER_NEWS_H_
+#endif  // CUMINSWITCH_FLEET_PEER_UPDATE_LOG_H_
--- a/include/cuminswitch/Fleet/store_duty.h
+++ b/include/cuminswitch/Fleet/store_follower_policy.h
@@ -1,7 +1,7 @@
 /// \file
 /// When a daemon follows the store.
-#ifndef CUMINSWITCH_FLEET_STORE_DUTY_H_
-#define CUMINSWITCH_FLEET_STORE_DUTY_H_
+#ifndef CUMINSWITCH_FLEET_STORE_FOLLOWER_POLICY_H_
+#define CUMINSWITCH_FLEET_STORE_FOLLOWER_POLICY_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -22,13 +22,13 @@
 /// few of those that rank before it are answered. One that is not answered
 /// stands down, and tries again after a while that grows with the fleet: the
 /// calls of a fleet that has lost the store stay few.
-class store_duty {
+class store_follower_policy {
  public:
   /// What the daemon knows when it decides.
   struct view {
     const daemon_record& self;
     /// Its living peers.
-    std::span<const daemon_record> living;
+    std::span<const daemon_record> alive;
     const staleness_tracker& staleness;
     /// When the store last answered this daemon, and last failed to.
     time_point answered_at{};
@@ -41,7 +41,7 @@
   void OnPeers(const daemon_record& self,
                std::span<const daemon_record> living);
   /// Returns whether to follow the store from now on.
-  bool Decide(time_point now, const view& seen);
+  bool ShouldFollow(time_point now, const view& seen);
 
  private:
   /// Whether enough peers that rank before this daemon have the store.
@@ -57,4 +57,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_FLEET_STORE_DUTY_H_
+#endif  // CUMINSWITCH_FLEET_STORE_FOLLOWER_POLICY_H_
--- a/include/cuminswitch/Once/shard_ledger.h
+++ b/include/cuminswitch/Once/shard_journal.h
@@ -1,7 +1,7 @@
 /// \file
 /// The owner's side of at-most-once: one shard of the idempotency-key space.
-#ifndef CUMINSWITCH_ONCE_SHARD_LEDGER_H_
-#define CUMINSWITCH_ONCE_SHARD_LEDGER_H_
+#ifndef CUMINSWITCH_ONCE_SHARD_JOURNAL_H_
+#define CUMINSWITCH_ONCE_SHARD_JOURNAL_H_
 
 #include <cstdint>
 #include <string>
@@ -19,7 +19,7 @@
 /// repeats. Its safety rests on the compare-and-swap alone: an owner that was
 /// deposed, however long it was paused, fails its next write and grants
 /// nothing. Heartbeats only decide when somebody else tries to take over.
-class shard_ledger {
+class shard_journal {
  public:
   struct options {
     shard_number shard = 0;
@@ -39,17 +39,17 @@
 
   enum class ownership : uint8_t { kNone, kClaiming, kOwned, kUncertain };
 
-  explicit shard_ledger(const options& opts);
+  explicit shard_journal(const options& opts);
 
   /// Starts to take the shard over. Does nothing unless it is not owned.
   void Claim(action_list& out);
   /// Hands the shard back so that another daemon can claim it at once.
-  void HandBack(uint64_t unix_now, action_list& out);
+  void Release(uint64_t unix_now, action_list& out);
   /// Writes what waits for the journal, once the write budget allows.
   void OnTick(time_point now, uint64_t unix_now, action_list& out);
   void OnPlatformAnswer(time_point now,
                         uint64_t unix_now,
-                        const platform_answer& answer,
+                        const platform_reply& answer,
                         action_list& out);
   void OnStart(time_point now,
                uint64_t unix_now,
@@ -93,7 +93,7 @@
     uint64_t issued = 0;
     hash128 request_digest;
     grantee asker;
-    recorded_answer answer;
+    recorded_response answer;
   };
   /// What the outstanding call on the platform is for.
   enum class pending_call : uint8_t {
@@ -111,9 +111,9 @@
                     const start_request& request,
                     action_list& out);
   void Reply(const grantee& asker,
-             start_verdict verdict,
+             start_result verdict,
              action_list& out,
-             const recorded_answer& answer = {}) const;
+             const recorded_response& answer = {}) const;
   void Commit(time_point now, uint64_t unix_now, action_list& out);
   void Prune(uint64_t unix_now);
   shard_record MakeRecord() const;
@@ -121,13 +121,11 @@
             platform_operation operation,
             std::string value,
             action_list& out);
-  void OnClaimRead(const platform_answer& answer, action_list& out);
-  void OnClaimWrite(const platform_answer& answer, action_list& out);
-  void OnCommit(time_point now,
-                const platform_answer& answer,
-                action_list& out);
+  void OnClaimRead(const platform_reply& answer, action_list& out);
+  void OnClaimWrite(const platform_reply& answer, action_list& out);
+  void OnCommit(time_point now, const platform_reply& answer, action_list& out);
   void OnReadBack(time_point now,
-                  const platform_answer& answer,
+                  const platform_reply& answer,
                   action_list& out);
   void GrantCommitted(action_list& out);
   void RefusePending(action_list& out);
@@ -152,4 +150,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_ONCE_SHARD_LEDGER_H_
+#endif  // CUMINSWITCH_ONCE_SHARD_JOURNAL_H_
--- a/include/cuminswitch/Once/shard_keeper.h
+++ b/include/cuminswitch/Once/shard_manager.h
@@ -1,15 +1,15 @@
 /// \file
 /// All idempotency-key shards as one daemon sees them: which it owns, which
 /// it should claim, and where the others' owners are.
-#ifndef CUMINSWITCH_ONCE_SHARD_KEEPER_H_
-#define CUMINSWITCH_ONCE_SHARD_KEEPER_H_
+#ifndef CUMINSWITCH_ONCE_SHARD_MANAGER_H_
+#define CUMINSWITCH_ONCE_SHARD_MANAGER_H_
 
 #include <cstdint>
 #include <random>
 #include <string>
 #include <vector>
 
-#include "cuminswitch/Once/shard_ledger.h"
+#include "cuminswitch/Once/shard_journal.h"
 #include "cuminswitch/Protocol/core_action.h"
 #include "cuminswitch/Protocol/peer_message.h"
 #include "cuminswitch/Support/time.h"
@@ -19,7 +19,7 @@
 class member_table;
 
 /// Spreads the shards over the daemons and keeps the ledgers of its own.
-class shard_keeper {
+class shard_manager {
  public:
   struct options {
     std::string host;
@@ -33,7 +33,7 @@
     duration claim_delay = std::chrono::milliseconds(800);
   };
 
-  explicit shard_keeper(const options& opts);
+  explicit shard_manager(const options& opts);
 
   void OnTick(time_point now,
               uint64_t unix_now,
@@ -41,7 +41,7 @@
               action_list& out);
   void OnPlatformAnswer(time_point now,
                         uint64_t unix_now,
-                        const platform_answer& answer,
+                        const platform_reply& answer,
                         action_list& out);
   void OnStart(time_point now,
                uint64_t unix_now,
@@ -50,7 +50,7 @@
   void OnFinish(const finish_report& report);
   void OnRelease(const release_report& report);
   /// Hands every shard back; `OwnedShards` becomes empty as that succeeds.
-  void HandBackAll(uint64_t unix_now, action_list& out);
+  void ReleaseAll(uint64_t unix_now, action_list& out);
 
   std::vector<shard_number> OwnedShards() const;
   bool Owns(shard_number shard) const;
@@ -58,7 +58,7 @@
 
  private:
   struct slot {
-    shard_ledger ledger;
+    shard_journal ledger;
     /// Since when no serving member has said that it owns the shard.
     time_point vacant_since = time_point::max();
     time_point next_claim{};
@@ -83,4 +83,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_ONCE_SHARD_KEEPER_H_
+#endif  // CUMINSWITCH_ONCE_SHARD_MANAGER_H_
--- a/include/cuminswitch/Protocol/core_event.h
+++ b/include/cuminswitch/Protocol/core_event.h
@@ -63,7 +63,7 @@
   /// Until when a first byte is worth everything; 0 for not known.
   duration target_latency{0};
   /// After this long without a byte the caller leaves; 0 for not known.
-  duration longest_silence{0};
+  duration caller_idle_timeout{0};
   repeat_rule repeats = repeat_rule::kByTarget;
   /// Upstreams that may run it; 0 for no limit.
   uint32_t max_runs = 0;
@@ -107,14 +107,14 @@
   /// Of all prompts.
   double prompt_tokens = 0;
   /// Tokens that engines were to read for short and for long prompts.
-  double short_read = 0;
-  double long_read = 0;
+  double short_prefill = 0;
+  double long_prefill = 0;
   /// Seconds for which short prompts' answers held a slot of an engine.
   double short_held = 0;
   /// Over how many seconds all of this was counted.
   double seconds = 0;
   /// Whether engines are kept for short prompts, as this daemon sees it.
-  bool keeps_engines = false;
+  bool reserves_engines = false;
 };
 
 /// What a daemon tells the others of its placements.
@@ -162,7 +162,7 @@
   uint32_t prompt_tokens = 0;
   uint32_t cached_tokens = 0;
   /// The answer, where it is whole, short enough and may be asked for again.
-  recorded_answer answer;
+  recorded_response answer;
 };
 
 /// A model that an engine has loaded.
@@ -206,7 +206,7 @@
                                 attempt_ended,
                                 upstream_report,
                                 peer_received,
-                                platform_answer,
+                                platform_reply,
                                 tick,
                                 stop_requested>;
 
--- a/include/cuminswitch/Protocol/peer_message.h
+++ b/include/cuminswitch/Protocol/peer_message.h
@@ -81,7 +81,7 @@
 };
 
 /// What a shard's owner says to a `start_request`.
-enum class start_verdict : uint8_t {
+enum class start_result : uint8_t {
   /// The start is journaled; the asker alone may run it, once.
   kGranted,
   /// Nothing ran and nothing was journaled for this request.
@@ -99,7 +99,7 @@
 };
 
 /// An answer kept so that a repeat of its key gets the same one.
-struct recorded_answer {
+struct recorded_response {
   uint32_t status = 0;
   std::string content_type;
   std::string body;
@@ -107,10 +107,10 @@
 
 struct start_reply {
   request_id request = 0;
-  start_verdict verdict = start_verdict::kRefused;
+  start_result verdict = start_result::kRefused;
   epoch_number epoch = 0;
   uint32_t retry_after_seconds = 0;
-  recorded_answer answer;
+  recorded_response answer;
 };
 
 /// Tells a shard's owner how a started request ended.
@@ -118,7 +118,7 @@
   shard_number shard = 0;
   key_hash key;
   outcome result = outcome::kUnknown;
-  recorded_answer answer;
+  recorded_response answer;
 };
 
 /// Gives a grant back unused: nothing ran, and nothing will under it.
--- a/include/cuminswitch/Protocol/upstream_notice.h
+++ b/include/cuminswitch/Protocol/upstream_notice.h
@@ -27,13 +27,13 @@
 
 /// How long an upstream that refused a request wants nothing more; between it
 /// and this daemon alone.
-struct rest_notice {
+struct backoff_notice {
   notice_kind kind = notice_kind::kNone;
   duration time{0};
 };
 
 /// What a daemon knows of an upstream's limit, for its peers.
-struct limit_news {
+struct limit_update {
   /// Hash of the upstream's name.
   uint64_t upstream = 0;
   /// Requests a second; nothing counts of it where the limit has ended.
--- a/include/cuminswitch/Routing/cache_planner.h
+++ b/include/cuminswitch/Routing/cache_planner.h
@@ -33,12 +33,12 @@
   /// The request shares none.
   kNone,
   /// The engine has it.
-  kKept,
+  kLocal,
   /// Another engine has it.
   kEngine,
   /// A store has it; or may have it, though this daemon was not told.
   kStore,
-  kStoreUntold,
+  kStoreAssumed,
   /// It is read sooner than copied.
   kTooShort,
   /// The store's links carry all that they can.
@@ -50,7 +50,7 @@
   /// Engines have it for other weights.
   kOtherWeights,
   /// An engine had it and will have forgotten it.
-  kForgotten,
+  kEvicted,
 };
 inline constexpr size_t kPrefixOrigins = 11;
 
@@ -71,7 +71,7 @@
 };
 
 /// One placed request, for planning.
-struct cache_question {
+struct cache_plan_query {
   time_point now{};
   /// The model as the router's configuration has it.
   const model_spec& model;
@@ -85,7 +85,7 @@
 
 /// Plans the copying of the request's shared prefix, so that fewer engines read
 /// what others have read.
-cache_plan PlanCache(const cache_question& question);
+cache_plan PlanCache(const cache_plan_query& question);
 
 }  // namespace cuminswitch
 
--- a/include/cuminswitch/Routing/replica_table.h
+++ b/include/cuminswitch/Routing/replica_table.h
@@ -15,7 +15,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "cuminswitch/Routing/prompt_kinds.h"
+#include "cuminswitch/Routing/prompt_length_classifier.h"
 #include "cuminswitch/Routing/replica.h"
 #include "cuminswitch/Routing/target_estimate.h"
 #include "cuminswitch/Support/time.h"
@@ -120,16 +120,16 @@
   /// the replica.
   void LearnTargetFirstByte(std::string_view target, duration took);
   /// How long requests to \p target wait for their first byte on average.
-  duration UsualFirstByte(std::string_view target) const;
+  duration MeanFirstByte(std::string_view target) const;
   /// Learns by how much a first byte from \p target came later than expected.
-  void LearnExcess(time_point now,
-                   std::string_view target,
-                   priority_class priority,
-                   duration excess);
+  void LearnPredictionError(time_point now,
+                            std::string_view target,
+                            priority_class priority,
+                            duration excess);
   /// By how much requests to \p target wait longer than expected of late.
-  duration UsualExcess(time_point now,
-                       std::string_view target,
-                       priority_class priority) const;
+  duration MeanPredictionError(time_point now,
+                               std::string_view target,
+                               priority_class priority) const;
   /// Learns how many tokens a request made the replica compute.
   void LearnComputed(replica_index index, double tokens);
   /// Learns the prefill rate from an attempt that did not queue. Replicas that
@@ -145,8 +145,8 @@
   double HitChance(time_point now, std::string_view target, duration age) const;
   /// Returns the replica of \p target that is \p prefix's first home, whether
   /// or not it can serve now.
-  std::optional<replica_index> HomeOf(std::string_view target,
-                                      uint64_t prefix) const;
+  std::optional<replica_index> PreferredReplica(std::string_view target,
+                                                uint64_t prefix) const;
 
   /// Counts the replicas of \p target and what they run at once.
   engine_slots CountSlots(std::string_view target) const;
--- a/lib/Admission/even_quota_policy.cc
+++ b/lib/Admission/even_quota_policy.cc
@@ -12,7 +12,7 @@
 
 void even_quota_policy::SetFleet(time_point /*now*/,
                                  const quota_fleet_view& fleet) {
-  known_ = std::max(fleet.known, fleet.living.size() + 1);
+  known_ = std::max(fleet.known, fleet.alive.size() + 1);
 }
 
 /// A number from 0 to 1 that differs between daemons and subjects.
@@ -46,11 +46,11 @@
   const quota_bucket::decision decided =
       own.bucket.Decide(now, {.weight = item.weight,
                               .digest = item.digest,
-                              .patience = item.patience});
+                              .max_wait = item.max_wait});
   decisions_.push_back({.ticket = item.ticket,
                         .is_admitted = decided.is_admitted,
                         .retry_after = decided.retry_after,
-                        .source = quota_source::kOwnPart,
+                        .source = quota_source::kLocalShare,
                         .level = own.bucket.Level(now),
                         .share = 1.0 / static_cast<double>(known_)});
 }
--- a/lib/Admission/owner_quota_policy.cc
+++ b/lib/Admission/owner_quota_policy.cc
@@ -52,11 +52,11 @@
   std::vector<candidate> next;
   // A daemon that stops serves on for seconds. As an owner in its own eyes it
   // would give out each limit beside the one whom all others ask.
-  const bool is_candidate = !fleet.is_leaving || fleet.living.empty();
+  const bool is_candidate = !fleet.is_leaving || fleet.alive.empty();
   if (is_candidate) {
     next.push_back(self_);
   }
-  for (const endpoint& address : fleet.living) {
+  for (const endpoint& address : fleet.alive) {
     if (address != self_.address) {
       next.push_back({.address = address, .hash = HashOf(address)});
     }
@@ -65,7 +65,7 @@
   candidates_ = std::move(next);
   const size_t living = candidates_.size() + (is_candidate ? 0 : 1);
   known_ = std::max(fleet.known, living);
-  notice_time_ = fleet.notice_time;
+  notice_time_ = fleet.convergence_time;
   started_at_ = started_at_.value_or(now);
   seen_.push_back(
       {.from = now,
@@ -129,7 +129,7 @@
   }
   // What it saw while it still gathered who there is says nothing.
   const time_point since =
-      std::max(now - notice_time_, *started_at_ + kGatherTime);
+      std::max(now - notice_time_, *started_at_ + kWarmUpTime);
   double least = seen_.back().part;
   for (size_t i = 0; i + 1 < seen_.size(); ++i) {
     if (seen_[i + 1].from > since) {
@@ -157,30 +157,30 @@
                            static_cast<double>(known_));
 }
 
-quota_ask owner_quota_policy::MakeAsk(time_point now,
-                                      const quota_request& item) const {
-  quota_ask ask{.from = self_.address,
-                .ticket = item.ticket,
-                .kind = kind_,
-                .subject = item.subject,
-                .limit = item.limit,
-                .limit_age = item.limit_age,
-                .weight = item.weight,
-                .digest = item.digest,
-                .patience = item.patience,
-                .told = std::nullopt};
+quota_query owner_quota_policy::MakeAsk(time_point now,
+                                        const quota_request& item) const {
+  quota_query ask{.from = self_.address,
+                  .ticket = item.ticket,
+                  .kind = kind_,
+                  .subject = item.subject,
+                  .limit = item.limit,
+                  .limit_age = item.limit_age,
+                  .weight = item.weight,
+                  .digest = item.digest,
+                  .max_wait = item.max_wait,
+                  .last_level = std::nullopt};
   if (const auto told = told_.find(item.subject); told != told_.end()) {
-    ask.told = quota_level{.owner = told->second.owner,
-                           .level = told->second.level,
-                           .age = now - told->second.at};
+    ask.last_level = quota_level{.owner = told->second.owner,
+                                 .level = told->second.level,
+                                 .age = now - told->second.at};
   }
   return ask;
 }
 
-quota_ask owner_quota_policy::MakeReport(time_point now,
-                                         const quota_request& item,
-                                         double weight) const {
-  quota_ask report = MakeAsk(now, item);
+quota_query owner_quota_policy::MakeReport(time_point now,
+                                           const quota_request& item,
+                                           double weight) const {
+  quota_query report = MakeAsk(now, item);
   report.ticket = 0;
   report.weight = weight;
   return report;
@@ -188,16 +188,16 @@
 
 void owner_quota_policy::Note(time_point now,
                               uint64_t subject,
-                              const quota_verdict& verdict) {
+                              const quota_reply& verdict) {
   told_[subject] = {.owner = verdict.owner, .level = verdict.level, .at = now};
 }
 
 void owner_quota_policy::DecideHere(time_point now, const quota_request& item) {
   const double share = Share(now, item.subject);
   if (const auto taken = unreported_.extract(item.subject)) {
-    owner_.OnAsk(now, MakeReport(now, item, taken.mapped()), share);
+    owner_.OnQuery(now, MakeReport(now, item, taken.mapped()), share);
   }
-  const quota_verdict verdict = owner_.OnAsk(now, MakeAsk(now, item), share);
+  const quota_reply verdict = owner_.OnQuery(now, MakeAsk(now, item), share);
   Note(now, item.subject, verdict);
   decisions_.push_back({.ticket = item.ticket,
                         .is_admitted = verdict.is_admitted,
@@ -209,11 +209,11 @@
 
 void owner_quota_policy::DecideAlone(time_point now,
                                      const quota_request& item) {
-  if (fallback_ == quota_fallback::kNothing) {
+  if (fallback_ == quota_fallback::kRefuse) {
     decisions_.push_back({.ticket = item.ticket,
                           .is_admitted = false,
                           .retry_after = kSilentTime,
-                          .source = quota_source::kNobody});
+                          .source = quota_source::kNone});
     return;
   }
   if (const auto found = told_.find(item.subject); found != told_.end()) {
@@ -224,7 +224,7 @@
       told.level -= item.weight;
       decisions_.push_back({.ticket = item.ticket,
                             .is_admitted = true,
-                            .source = quota_source::kBelief,
+                            .source = quota_source::kCached,
                             .level = told.level,
                             .age = now - told.at});
       unreported_[item.subject] += item.weight;
@@ -249,7 +249,7 @@
   asked.asked = owner;
   asked.asked_at = now;
   ++asked.attempts;
-  quota_ask ask = MakeAsk(now, asked.item);
+  quota_query ask = MakeAsk(now, asked.item);
   ask.is_final = asked.attempts > 1;
   messages_.push_back({.to = owner, .message = std::move(ask)});
   const uint64_t ticket = asked.item.ticket;
@@ -262,9 +262,9 @@
 
 void owner_quota_policy::Charge(time_point now, const quota_request& item) {
   const endpoint& owner = FindOwner(now, item.subject);
-  const quota_ask ask = MakeReport(now, item, item.weight);
+  const quota_query ask = MakeReport(now, item, item.weight);
   if (owner == self_.address) {
-    owner_.OnAsk(now, ask, Share(now, item.subject));
+    owner_.OnQuery(now, ask, Share(now, item.subject));
     return;
   }
   messages_.push_back({.to = owner, .message = ask});
@@ -277,30 +277,29 @@
   if (found == unreported_.end()) {
     return;
   }
-  quota_ask ask = MakeReport(now, item, found->second);
+  quota_query ask = MakeReport(now, item, found->second);
   unreported_.erase(found);
   ask.is_final = true;
   messages_.push_back({.to = owner, .message = std::move(ask)});
 }
 
-void owner_quota_policy::OnAsk(time_point now, const quota_ask& ask) {
+void owner_quota_policy::OnQuery(time_point now, const quota_query& ask) {
   if (!ask.is_final) {
     if (const endpoint& owner = FindOwner(now, ask.subject);
         owner != self_.address) {
-      quota_ask handed_on = ask;
+      quota_query handed_on = ask;
       handed_on.is_final = true;
       messages_.push_back({.to = owner, .message = std::move(handed_on)});
       return;
     }
   }
-  const quota_verdict verdict = owner_.OnAsk(now, ask, Share(now, ask.subject));
+  const quota_reply verdict = owner_.OnQuery(now, ask, Share(now, ask.subject));
   if (ask.ticket != 0) {
     messages_.push_back({.to = ask.from, .message = verdict});
   }
 }
 
-void owner_quota_policy::OnVerdict(time_point now,
-                                   const quota_verdict& verdict) {
+void owner_quota_policy::OnReply(time_point now, const quota_reply& verdict) {
   const auto found = pending_.find(verdict.ticket);
   if (found == pending_.end()) {
     // Its request was decided without it.
--- a/lib/Core/decision_core.cc
+++ b/lib/Core/decision_core.cc
@@ -127,7 +127,7 @@
 }
 
 void decision_core::Handle(time_point now,
-                           const platform_answer& event,
+                           const platform_reply& event,
                            action_list& out) {
   router_.SetPlatformReachable(event.status != platform_status::kNoAnswer);
   switch (event.tag.owner) {
@@ -176,7 +176,7 @@
     return;
   }
   router_.CloseAdmission();
-  shards_.HandBackAll(UnixNow(now), out);
+  shards_.ReleaseAll(UnixNow(now), out);
   const bool handed_back = shards_.OwnedShards().empty();
   const bool waited = now - stop_since_ >= options_.linger + kHandBackTimeout;
   if (router_.IsIdle() && (handed_back || waited)) {
--- a/lib/Core/request_permits.cc
+++ b/lib/Core/request_permits.cc
@@ -47,7 +47,7 @@
 }
 
 void request_router::OnPermit(time_point now,
-                              const permit_answer& answer,
+                              const permit_reply& answer,
                               action_list& out) {
   const std::optional<replica_index> index =
       replicas_.FindByHash(answer.upstream);
@@ -76,7 +76,7 @@
   // The upstream may have begun to leave meanwhile, or asked for rest.
   const eligible_replicas eligible = replicas_.ListEligible(
       now, item.info.target, AllowedDomains(item), item.excluded);
-  if (now >= replicas_[*index].rest_until &&
+  if (now >= replicas_[*index].backoff_until &&
       std::binary_search(eligible.indices.begin(), eligible.indices.end(),
                          *index)) {
     Dispatch(now, item, item.asked, eligible.indices, out);
@@ -86,7 +86,7 @@
   Admit(now, item, out);
 }
 
-void request_router::ReturnPermit(const permit_answer& answer) {
+void request_router::ReturnPermit(const permit_reply& answer) {
   const std::optional<double> rate = limits_.Find(answer.upstream);
   if (answer.is_granted && rate) {
     unused_permits_.push_back({.upstream = answer.upstream, .rate = *rate});
@@ -112,8 +112,8 @@
 }
 
 upstream_limits::change request_router::OnPeerLimit(time_point now,
-                                                    const limit_news& news) {
-  const auto what = limits_.OnNews(now, news);
+                                                    const limit_update& news) {
+  const auto what = limits_.OnUpdate(now, news);
   NoteLimitChange(news.upstream, what);
   return what;
 }
--- a/lib/Core/request_refusals.cc
+++ b/lib/Core/request_refusals.cc
@@ -57,27 +57,29 @@
   const double computing =
       (item.info.prompt_tokens - chosen.expected_cached_tokens) /
       replicas_[chosen.index].prefill_rate;
-  expected_wait wait{
-      .upstream = {},
-      .waited = now - ArrivedAt(item),
-      .turn = FromSeconds(ahead),
-      .room = FromSeconds(room),
-      .queue = FromSeconds(replicas_.EstimateQueueSeconds(now, chosen.index)),
-      .reading = FromSeconds(computing),
-      .excess = replicas_.UsualExcess(now, item.info.target, PriorityOf(item)),
-      .target = item.info.target_latency};
-  const shed_question question{.waited = wait.waited,
-                               .expected = wait.Ahead(),
-                               .target = item.info.target_latency,
-                               .longest_silence = item.info.longest_silence,
-                               .priority = PriorityOf(item)};
+  expected_wait wait{.upstream = {},
+                     .waited = now - ArrivedAt(item),
+                     .local_queue = FromSeconds(ahead),
+                     .capacity = FromSeconds(room),
+                     .upstream_queue = FromSeconds(
+                         replicas_.EstimateQueueSeconds(now, chosen.index)),
+                     .prefill = FromSeconds(computing),
+                     .prediction_error = replicas_.MeanPredictionError(
+                         now, item.info.target, PriorityOf(item)),
+                     .target = item.info.target_latency};
+  const shedding_query question{
+      .waited = wait.waited,
+      .expected = wait.Remaining(),
+      .target = item.info.target_latency,
+      .caller_idle_timeout = item.info.caller_idle_timeout,
+      .priority = PriorityOf(item)};
   if (LuckOf(item) >= RefusalChance(question)) {
     return false;
   }
   ++counters_.shed;
   // For the log alone, so not worked out for requests that are taken.
   wait.upstream = replicas_[chosen.index].spec.name;
-  wait.news_age = replicas_.OldestPeerBacklog(now);
+  wait.peer_data_age = replicas_.OldestPeerBacklog(now);
   Refuse(item.info.request,
          {.status = status_code::kTooManyRequests,
           .message = "it would be served too late",
@@ -139,7 +141,7 @@
     ReportFinish(item, outcome::kUnknown, {}, out);
   }
   ++(result == outcome::kNotRun ? counters_.not_run : counters_.unknown);
-  out.push_back(answer_request{.request = id,
+  out.push_back(local_response{.request = id,
                                .result = result,
                                .status = why.status,
                                .retry_after_seconds = why.retry_after_seconds,
--- a/lib/Edge/edge_knowledge.cc
+++ b/lib/Edge/edge_knowledge.cc
@@ -2,7 +2,7 @@
 #include <vector>
 
 #include "cuminswitch/Edge/edge_task.h"
-#include "cuminswitch/Edge/plan_translator.h"
+#include "cuminswitch/Edge/routing_config_translator.h"
 #include "cuminswitch/Fleet/boot_clock.h"
 #include "cuminswitch/Kernel/kernel.h"
 #include "cuminswitch/Log/event_log.h"
@@ -69,11 +69,12 @@
 
 void edge_task::ApplyPlan(time_point now, action_list& actions) {
   if (knowledge_ != nullptr && knowledge_->plan != nullptr) {
-    router_.OnPlan(now, TranslatePlan(*knowledge_, held_weights_), actions);
+    router_.OnPlan(now, TranslateRoutingConfig(*knowledge_, held_weights_),
+                   actions);
   }
 }
 
-void edge_task::Take(const knowledge_changed& news) {
+void edge_task::Take(const fleet_snapshot_changed& news) {
   const bool was_ready = IsReady();
   const bool has_same_plan =
       knowledge_ != nullptr && knowledge_->plan == news.knowledge->plan &&
@@ -84,7 +85,7 @@
   if (knowledge_->plan == nullptr || has_same_plan) {
     return;
   }
-  const route_plan& plan = *knowledge_->plan;
+  const routing_config& plan = *knowledge_->plan;
   server_->SetLimits({.max_head_size = plan.max_head_size,
                       .max_body_size = plan.max_body_size,
                       .request_timeout = plan.request_timeout,
@@ -103,12 +104,12 @@
 }
 
 void edge_task::Take(const peers_changed& news) {
-  peers_ = news.living;
+  peers_ = news.alive;
   fleet_size_ = news.known;
-  notice_time_ = news.notice_time;
+  notice_time_ = news.convergence_time;
   passes_on_ = news.is_partial;
-  const bool has_other_share = maybe_at_work_ != news.maybe_at_work;
-  maybe_at_work_ = news.maybe_at_work;
+  const bool has_other_share = maybe_at_work_ != news.possibly_active;
+  maybe_at_work_ = news.possibly_active;
   TellQuotasOfFleet(ReadBootClock());
   if (has_other_share) {
     pool_.TrimIdle();
--- a/lib/Edge/edge_limits.cc
+++ b/lib/Edge/edge_limits.cc
@@ -19,7 +19,7 @@
 
 static std::string_view EventName(upstream_limits::change what) {
   switch (what) {
-    case upstream_limits::change::kBegan:
+    case upstream_limits::change::kAdded:
       return "limit_named";
     case upstream_limits::change::kChanged:
       return "limit_changed";
@@ -51,13 +51,14 @@
 
 void edge_task::Take(const peer_limits& news) {
   const time_point now = ReadBootClock();
-  for (const limit_news& item : news.limits) {
+  for (const limit_update& item : news.limits) {
     LogLimit(router_.OnPeerLimit(now, item), item.upstream, news.peer);
   }
 }
 
 void edge_task::TellLimits(time_point now) {
-  std::vector<limit_news> news = router_.limits().ListNews(now, passes_on_);
+  std::vector<limit_update> news =
+      router_.limits().ListUpdates(now, passes_on_);
   // Once more when there are none left, so that no old ones are told.
   if (!news.empty() || told_limits_) {
     told_limits_ = !news.empty();
@@ -66,7 +67,7 @@
   }
 }
 
-void edge_task::TakeLimitAsk(time_point now, quota_ask ask) {
+void edge_task::TakeLimitAsk(time_point now, quota_query ask) {
   // Of the two, the younger news counts: a daemon that has not heard yet that a
   // limit was lowered would raise it for all.
   LogLimit(router_.OnPeerLimit(now, {.upstream = ask.subject,
@@ -76,7 +77,7 @@
   if (const auto rate = router_.limits().Find(ask.subject)) {
     ask.limit = QuotaOfLimit(*rate);
   }
-  limits_.policy().OnAsk(now, ask);
+  limits_.policy().OnQuery(now, ask);
   SettleLimits(now);
 }
 
@@ -84,23 +85,25 @@
   for (const permit_return& unused : router_.TakeUnusedPermits()) {
     limits_.Return(now, unused);
   }
-  for (const permit_question& question : router_.TakePermitQuestions()) {
+  for (const permit_request& question : router_.TakePermitRequests()) {
     limits_.Ask(now, question);
   }
   SendQuotaMessages(limits_.policy());
-  for (const limit_gate::decided_question& decided : limits_.TakeDecided()) {
+  for (const upstream_limit_admission::permit_result& decided :
+       limits_.TakeDecided()) {
     SettleLimit(now, decided);
   }
 }
 
-void edge_task::SettleLimit(time_point now,
-                            const limit_gate::decided_question& decided) {
-  const request_flow* flow = FindFlow(decided.question.request);
+void edge_task::SettleLimit(
+    time_point now,
+    const upstream_limit_admission::permit_result& decided) {
+  const request_flow* flow = FindFlow(decided.request.request);
   if (flow != nullptr) {
     with_.log.Write(
         log_class::kRequest,
         DescribePermit(*flow,
-                       router_.FindUpstreamName(decided.question.upstream),
+                       router_.FindUpstreamName(decided.request.upstream),
                        decided));
   }
   action_list actions;
@@ -126,7 +129,7 @@
     return std::nullopt;
   }
   const upstream_entry& entry = *found->second;
-  const service_plan* service = knowledge_->plan->FindService(entry.service);
+  const service_config* service = knowledge_->plan->FindService(entry.service);
   if (service == nullptr) {
     return std::nullopt;
   }
--- a/lib/Edge/edge_metrics.cc
+++ b/lib/Edge/edge_metrics.cc
@@ -144,8 +144,7 @@
   page.Begin("cuminswitch_limit_decisions_total", "counter",
              "Requests for upstreams that name a limit, by what was decided.");
   page.Add(static_cast<double>(from.limits.granted), "decision=\"granted\"");
-  page.Add(static_cast<double>(from.limits.turned_away),
-           "decision=\"turned_away\"");
+  page.Add(static_cast<double>(from.limits.denied), "decision=\"turned_away\"");
   page.Add(static_cast<double>(from.limits.unused), "decision=\"unused\"");
   WriteQuotas(page, from.quotas);
   page.Begin("cuminswitch_shared_prefix_tokens_total", "counter",
@@ -158,7 +157,7 @@
   }
   page.Begin("cuminswitch_engines_kept_share", "gauge",
              "Part of the engines that is kept for short prompts.");
-  page.Add(status.short_part);
+  page.Add(status.short_share);
   page.Begin("cuminswitch_upstream_connections_total", "counter",
              "Connections opened to upstreams.");
   page.Add(static_cast<double>(from.upstream_connections));
--- a/lib/Edge/edge_quotas.cc
+++ b/lib/Edge/edge_quotas.cc
@@ -20,7 +20,7 @@
       living.push_back(item.peer_address);
     }
   }
-  has_gathered_ = now - started_at_ >= owner_quota_policy::kGatherTime;
+  has_gathered_ = now - started_at_ >= owner_quota_policy::kWarmUpTime;
   if (!has_gathered_ && knowledge_ != nullptr) {
     // A daemon that knows itself alone would take itself for the owner of
     // every quota, as all do that were killed together.
@@ -30,50 +30,50 @@
     std::sort(living.begin(), living.end());
     living.erase(std::unique(living.begin(), living.end()), living.end());
   }
-  const quota_fleet_view fleet{.living = living,
+  const quota_fleet_view fleet{.alive = living,
                                .known = maybe_at_work_,
-                               .notice_time = notice_time_,
+                               .convergence_time = notice_time_,
                                .is_leaving = stop_.HasBegun()};
   quotas_.policy().SetFleet(now, fleet);
   limits_.policy().SetFleet(now, fleet);
 }
 
-void edge_task::Take(const quota_ask& ask) {
+void edge_task::Take(const quota_query& ask) {
   const time_point now = ReadBootClock();
   if (ask.kind == quota_kind::kUpstream) {
     TakeLimitAsk(now, ask);
     return;
   }
-  quotas_.policy().OnAsk(now, ask);
+  quotas_.policy().OnQuery(now, ask);
   SettleQuotas(now);
 }
 
-void edge_task::Take(const quota_verdict& verdict) {
+void edge_task::Take(const quota_reply& verdict) {
   const time_point now = ReadBootClock();
   if (verdict.kind == quota_kind::kUpstream) {
-    limits_.policy().OnVerdict(now, verdict);
+    limits_.policy().OnReply(now, verdict);
     SettleLimits(now);
     return;
   }
-  quotas_.policy().OnVerdict(now, verdict);
+  quotas_.policy().OnReply(now, verdict);
   SettleQuotas(now);
 }
 
 void edge_task::SendQuotaMessages(quota_policy& policy) {
-  for (quota_send& item : policy.TakeMessages()) {
+  for (outgoing_quota_message& item : policy.TakeMessages()) {
     services_.FindPort<fleet_message>(kFleetService).Post(std::move(item));
   }
 }
 
 void edge_task::SettleQuotas(time_point now) {
   SendQuotaMessages(quotas_.policy());
-  for (quota_gate::decided_request& decided : quotas_.TakeDecided()) {
+  for (quota_admission::admission_result& decided : quotas_.TakeDecided()) {
     SettleQuota(now, std::move(decided));
   }
 }
 
 void edge_task::SettleQuota(time_point now,
-                            quota_gate::decided_request decided) {
+                            quota_admission::admission_result decided) {
   const request_id id = decided.arrival.request;
   request_flow* flow = FindFlow(id);
   if (flow == nullptr || flow->has_ended()) {
--- a/lib/Edge/edge_task.cc
+++ b/lib/Edge/edge_task.cc
@@ -44,7 +44,7 @@
                   .self = opts.self.peer_address,
                   .id = Hash64(opts.self.name, opts.self.incarnation),
                   .kind = quota_kind::kUpstream,
-                  .fallback = quota_fallback::kNothing}),
+                  .fallback = quota_fallback::kRefuse}),
               Hash64(opts.self.name)),
       stop_(opts.grace),
       started_at_(ReadBootClock()) {}
@@ -168,7 +168,7 @@
       CancelAttempt(cancel->attempt);
     } else if (const auto* dispatch = std::get_if<dispatch_attempt>(&action)) {
       Perform(now, *dispatch);
-    } else if (const auto* answer = std::get_if<answer_request>(&action)) {
+    } else if (const auto* answer = std::get_if<local_response>(&action)) {
       if (request_flow* flow = FindFlow(answer->request)) {
         flow->GiveUp(*answer);
       }
@@ -207,14 +207,14 @@
 }
 
 void edge_task::OnFlowAttemptFailed(const request_flow& flow,
-                                    attempt_answer answer,
+                                    attempt_result answer,
                                     uint32_t status) {
   with_.log.Write(log_class::kRequest,
                   DescribeAttemptFailure(flow, answer, status)
                       .Add("revision", knowledge_->revision));
 }
 
-void edge_task::OnFlowBroken(const endpoint& address) {
+void edge_task::OnConnectionLost(const endpoint& address) {
   pool_.Forget(address);
 }
 
@@ -228,14 +228,14 @@
   const bool is_late_begun =
       *flow.first_byte_at() - flow.arrived() > route.target_latency;
   const bool has_paused =
-      route.IsStream() && flow.longest_pause() > route.longest_pause;
+      route.IsStream() && flow.longest_pause() > route.max_event_gap;
   if (is_late_begun) {
     return has_paused ? "both" : "first_byte";
   }
   return has_paused ? "pause" : "";
 }
 
-void edge_task::OnFlowEnd(request_flow& flow, const flow_end& end) {
+void edge_task::OnFlowEnd(request_flow& flow, const flow_result& end) {
   with_.log.Write(log_class::kRequest,
                   DescribeEnd(ReadBootClock(), flow, end)
                       .Add("configuration", knowledge_->plan->version));
@@ -295,19 +295,19 @@
 }
 
 void edge_task::LogKeptEngines() {
-  const bool keeps_engines = router_.short_part() > 0;
-  if (keeps_engines == kept_engines_) {
+  const bool reserves_engines = router_.short_share() > 0;
+  if (reserves_engines == kept_engines_) {
     return;
   }
-  kept_engines_ = keeps_engines;
+  kept_engines_ = reserves_engines;
   const prompt_mix own = router_.OwnMix(ReadBootClock());
   with_.log.Write(
       log_class::kBelief,
-      log_line(keeps_engines ? "engines_kept" : "engines_shared")
+      log_line(reserves_engines ? "engines_kept" : "engines_shared")
           .Add("short_percent",
-               static_cast<int64_t>(router_.short_part() * kPercent))
-          .Add("own_short_tokens", static_cast<int64_t>(own.short_read))
-          .Add("own_long_tokens", static_cast<int64_t>(own.long_read))
+               static_cast<int64_t>(router_.short_share() * kPercent))
+          .Add("own_short_tokens", static_cast<int64_t>(own.short_prefill))
+          .Add("own_long_tokens", static_cast<int64_t>(own.long_prefill))
           .Add("own_short_held_ms", FromSeconds(own.short_held))
           .Add("counted_ms", FromSeconds(own.seconds)));
 }
--- a/lib/Edge/quota_gate.cc
+++ b/lib/Edge/quota_admission.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Edge/quota_gate.h"
+#include "cuminswitch/Edge/quota_admission.h"
 
 #include <utility>
 
@@ -13,14 +13,14 @@
 /// told a longer wait comes early or not at all, so nothing is kept for it.
 static constexpr int kReturnPart = 3;
 
-static double Weigh(const quota_plan& quota, uint64_t tokens) {
+static double Weigh(const quota_config& quota, uint64_t tokens) {
   if (quota.unit == quota_unit::kRequests) {
     return 1;
   }
   return tokens == 0 ? quota.uncounted_tokens : static_cast<double>(tokens);
 }
 
-void quota_gate::Ask(time_point now, const question& asked) {
+void quota_admission::Ask(time_point now, const admission_query& asked) {
   const request_arrived& arrival = asked.arrival;
   const quota_request item{.ticket = arrival.request,
                            .subject = Hash64(arrival.workspace),
@@ -29,19 +29,19 @@
                                      .version = asked.version},
                            .weight = Weigh(asked.quota, asked.tokens),
                            .digest = asked.digest,
-                           .patience = asked.time_left / kReturnPart};
+                           .max_wait = asked.time_left / kReturnPart};
   waiting_[arrival.request] = {.arrival = arrival, .item = item};
   policy_->Admit(now, item);
 }
 
-quota_counts& quota_gate::CountsOf(const std::string& workspace) {
+quota_counts& quota_admission::CountsOf(const std::string& workspace) {
   const bool has_place =
       counts_.contains(workspace) || counts_.size() < kMaxCounted;
   return counts_[has_place ? workspace : kOtherWorkspaces];
 }
 
-std::vector<quota_gate::decided_request> quota_gate::TakeDecided() {
-  std::vector<decided_request> list;
+std::vector<quota_admission::admission_result> quota_admission::TakeDecided() {
+  std::vector<admission_result> list;
   for (const quota_decision& decision : policy_->TakeDecisions()) {
     const auto found = waiting_.find(decision.ticket);
     if (found == waiting_.end()) {
@@ -68,7 +68,7 @@
   return list;
 }
 
-void quota_gate::OnRuns(time_point now, request_id id, uint32_t runs) {
+void quota_admission::OnRuns(time_point now, request_id id, uint32_t runs) {
   const auto found = charged_.find(id);
   if (found == charged_.end()) {
     return;
@@ -80,7 +80,7 @@
   }
 }
 
-void quota_gate::OnEnd(time_point now, request_id id, uint32_t runs) {
+void quota_admission::OnEnd(time_point now, request_id id, uint32_t runs) {
   const auto found = charged_.find(id);
   if (found == charged_.end()) {
     return;
--- a/lib/Edge/request_flow.cc
+++ b/lib/Edge/request_flow.cc
@@ -61,7 +61,7 @@
   attempt_ = action.attempt;
   upstream_ = action.upstream;
   address_ = action.address;
-  usual_first_byte_ = action.usual_first_byte;
+  usual_first_byte_ = action.mean_first_byte;
   sent_at_ = now;
   ++attempts_;
   ++runs_;
@@ -110,7 +110,7 @@
 duration request_flow::StallTime() const {
   const route_spec& route = *options_.route;
   if (first_byte_at_) {
-    return route.longest_pause * kPausesToStall;
+    return route.max_event_gap * kPausesToStall;
   }
   const duration target =
       route.target_latency *
@@ -129,8 +129,8 @@
     return;
   }
   call_.reset();
-  with_.owner.OnFlowBroken(address_);
-  Judge(attempt_answer::kStalled);
+  with_.owner.OnConnectionLost(address_);
+  Judge(attempt_result::kStalled);
 }
 
 void request_flow::CancelAttempt() {
@@ -139,16 +139,16 @@
   call_.reset();
 }
 
-void request_flow::OnAnswerHead(const message_head& head) {
+void request_flow::OnResponseHead(const message_head& head) {
   answer_.head = head;
   answer_.attributes = with_.protocol.ReadAnswer(head);
-  with_.owner.OnFlowNotices(
-      *this, ChooseNotices(answer_.attributes, options_.request.attempt));
+  with_.owner.OnFlowFeedback(
+      *this, SelectFeedback(answer_.attributes, options_.request.attempt));
 }
 
 /// Whether the head is of a success that can be this attempt's.
 static bool IsGenuineSuccess(const message_head& head,
-                             const answer_attributes& attributes,
+                             const response_attributes& attributes,
                              const std::string& attempt) {
   static constexpr uint32_t kFirstSuccess = 200;
   static constexpr uint32_t kPastSuccess = 300;
@@ -163,7 +163,7 @@
                           options_.request.attempt);
 }
 
-void request_flow::OnAnswerBody(std::string_view data) {
+void request_flow::OnResponseBody(std::string_view data) {
   AwaitBytes();
   if (!IsForwarding()) {
     answer_.body.append(data);
@@ -214,92 +214,93 @@
                               {.content_length = length});
 }
 
-attempt_answer request_flow::Classify(call_end end) const {
+attempt_result request_flow::Classify(upstream_call_result end) const {
   switch (end) {
-    case call_end::kNotConnected:
-      return attempt_answer::kNotConnected;
-    case call_end::kBroken:
-      return attempt_answer::kBroken;
-    case call_end::kMalformed:
-      return attempt_answer::kForeign;
-    case call_end::kComplete:
+    case upstream_call_result::kNotConnected:
+      return attempt_result::kNotConnected;
+    case upstream_call_result::kBroken:
+      return attempt_result::kBroken;
+    case upstream_call_result::kMalformed:
+      return attempt_result::kUnrelated;
+    case upstream_call_result::kComplete:
       break;
   }
-  const answer_attributes& attributes = answer_.attributes;
+  const response_attributes& attributes = answer_.attributes;
   const bool is_other = !attributes.attempt.empty() &&
                         attributes.attempt != options_.request.attempt;
   if (is_other) {
-    return attempt_answer::kForeign;
+    return attempt_result::kUnrelated;
   }
   if (attributes.is_mismatch) {
-    return attempt_answer::kMismatch;
+    return attempt_result::kMismatch;
   }
   if (attributes.was_not_run) {
-    return attempt_answer::kRefused;
+    return attempt_result::kRefused;
   }
   if (IsGenuineSuccess(answer_.head, attributes, options_.request.attempt)) {
-    return attempt_answer::kSuccess;
+    return attempt_result::kSuccess;
   }
-  return answer_.head.status >= kFirstFailure ? attempt_answer::kFailure
-                                              : attempt_answer::kForeign;
+  return answer_.head.status >= kFirstFailure ? attempt_result::kFailure
+                                              : attempt_result::kUnrelated;
 }
 
-void request_flow::OnCallEnd(call_end end) {
+void request_flow::OnCallEnd(upstream_call_result end) {
   // The call is on the stack; it is destroyed with the next one or the flow.
   const std::unique_ptr<upstream_call> ended = std::move(call_);
   stall_timer_.Cancel();
-  if (end == call_end::kBroken || end == call_end::kNotConnected) {
-    with_.owner.OnFlowBroken(address_);
+  if (end == upstream_call_result::kBroken ||
+      end == upstream_call_result::kNotConnected) {
+    with_.owner.OnConnectionLost(address_);
   }
   Judge(Classify(end));
 }
 
-void request_flow::Judge(attempt_answer answer) {
-  const answer_progress progress =
-      is_head_sent_ ? answer_progress::kBegun : answer_progress::kNothing;
-  const attempt_verdict verdict =
-      JudgeAttempt(answer, progress, options_.route->MayRepeat());
+void request_flow::Judge(attempt_result answer) {
+  const response_progress progress =
+      is_head_sent_ ? response_progress::kBegun : response_progress::kNothing;
+  const attempt_disposition verdict =
+      ClassifyAttempt(answer, progress, options_.route->MayRepeat());
   if (verdict.result == outcome::kNotRun) {
     --runs_;
   } else {
     may_have_run_ = true;
   }
-  if (answer != attempt_answer::kSuccess) {
+  if (answer != attempt_result::kSuccess) {
     with_.owner.OnFlowAttemptFailed(*this, answer, answer_.head.status);
   }
   switch (verdict.action) {
-    case verdict_action::kHandOn:
+    case attempt_action::kForward:
       DeliverWhole();
       break;
-    case verdict_action::kPlaceAgainOrHandOn:
+    case attempt_action::kRetryOrForward:
       kept_failure_ = std::move(answer_);
       break;
-    case verdict_action::kPlaceAgain:
+    case attempt_action::kRetry:
       break;
-    case verdict_action::kTellUnknown:
+    case attempt_action::kReportUnknown:
       ReplyOwn({.result = outcome::kUnknown,
                 .status = status_code::kBadGateway,
                 .reason = "answer_broken"});
       break;
-    case verdict_action::kCutOff:
+    case attempt_action::kAbort:
       CutOff("answer_broken");
       break;
   }
   TellRouter(answer, verdict);
 }
 
-void request_flow::TellRouter(attempt_answer answer,
-                              const attempt_verdict& verdict) {
+void request_flow::TellRouter(attempt_result answer,
+                              const attempt_disposition& verdict) {
   // A failure that is handed on ran to its end, which is all the router needs.
   const bool is_final = has_ended_;
   with_.owner.OnFlowEvent(
       attempt_ended{.attempt = attempt_,
                     .result = verdict.result,
-                    .refused_busy = answer == attempt_answer::kRefused ||
-                                    answer == attempt_answer::kMismatch,
-                    .unreachable = answer == attempt_answer::kNotConnected,
-                    .failed_in_run = answer == attempt_answer::kFailure,
-                    .broke_off = answer == attempt_answer::kBroken,
+                    .refused_busy = answer == attempt_result::kRefused ||
+                                    answer == attempt_result::kMismatch,
+                    .unreachable = answer == attempt_result::kNotConnected,
+                    .failed_in_run = answer == attempt_result::kFailure,
+                    .broke_off = answer == attempt_result::kBroken,
                     .answer_begun = is_final,
                     .answer = {}});
 }
@@ -335,7 +336,7 @@
        .reason = "upstream_failure"});
 }
 
-void request_flow::GiveUp(const answer_request& action) {
+void request_flow::GiveUp(const local_response& action) {
   if (has_ended_) {
     return;
   }
@@ -364,7 +365,7 @@
             .reason = action.message});
 }
 
-void request_flow::ReplyOwn(const flow_end& end) {
+void request_flow::ReplyOwn(const flow_result& end) {
   http_headers headers;
   if (end.retry_after > duration(0)) {
     headers.push_back(RetryAfter(end.retry_after));
@@ -420,7 +421,7 @@
   with_.owner.OnFlowEvent(caller_gone{.request = options_.id});
 }
 
-void request_flow::End(const flow_end& end) {
+void request_flow::End(const flow_result& end) {
   has_ended_ = true;
   timer_.Cancel();
   stall_timer_.Cancel();
--- a/lib/Edge/request_log.cc
+++ b/lib/Edge/request_log.cc
@@ -35,14 +35,14 @@
 }
 
 log_line DescribeAttemptFailure(const request_flow& flow,
-                                attempt_answer answer,
+                                attempt_result answer,
                                 uint32_t status) {
   log_line line("attempt_failed");
   line.Add("id", flow.request().attempt)
       .Add("upstream", flow.upstream())
       .Add("answer", ToString(answer))
       .Add("status", status);
-  if (answer == attempt_answer::kBroken || answer == attempt_answer::kStalled) {
+  if (answer == attempt_result::kBroken || answer == attempt_result::kStalled) {
     // The id is new with each attempt of the caller; this stays the same.
     line.Add("digest", ToHex(flow.digest()));
   }
@@ -52,19 +52,19 @@
 /// Adds what a refusal for lateness was decided from.
 static void AddWait(const expected_wait& wait, log_line& line) {
   line.Add("best_upstream", wait.upstream)
-      .Add("expected_ms", wait.Ahead())
-      .Add("expected_turn_ms", wait.turn)
-      .Add("expected_room_ms", wait.room)
-      .Add("expected_queue_ms", wait.queue)
-      .Add("expected_reading_ms", wait.reading)
-      .Add("expected_excess_ms", wait.excess)
-      .Add("news_age_ms", wait.news_age)
+      .Add("expected_ms", wait.Remaining())
+      .Add("expected_turn_ms", wait.local_queue)
+      .Add("expected_room_ms", wait.capacity)
+      .Add("expected_queue_ms", wait.upstream_queue)
+      .Add("expected_reading_ms", wait.prefill)
+      .Add("expected_excess_ms", wait.prediction_error)
+      .Add("news_age_ms", wait.peer_data_age)
       .Add("target_ms", wait.target);
 }
 
 log_line DescribeEnd(time_point now,
                      const request_flow& flow,
-                     const flow_end& end) {
+                     const flow_result& end) {
   log_line line("request_ended");
   line.Add("id", flow.request().attempt)
       .Add("route", flow.route().name)
@@ -108,15 +108,16 @@
   return line;
 }
 
-log_line DescribePermit(const request_flow& flow,
-                        std::string_view upstream,
-                        const limit_gate::decided_question& decided) {
+log_line DescribePermit(
+    const request_flow& flow,
+    std::string_view upstream,
+    const upstream_limit_admission::permit_result& decided) {
   const quota_decision& decision = decided.decision;
   log_line line(decision.is_admitted ? "limit_granted" : "limit_turned_away");
   line.Add("id", flow.request().attempt)
       .Add("upstream", upstream)
-      .Add("requests_per_s", decided.question.rate)
-      .Add("limit_age_ms", decided.question.limit_age)
+      .Add("requests_per_s", decided.request.rate)
+      .Add("limit_age_ms", decided.request.limit_age)
       .Add("left", decision.level)
       .Add("left_age_ms", decision.age)
       .Add("share_percent", static_cast<int64_t>(decision.share * kPercent))
--- a/lib/Fleet/fleet_publishing.cc
+++ b/lib/Fleet/fleet_publishing.cc
@@ -10,7 +10,7 @@
 namespace cuminswitch {
 
 /// Between two messages on the peers to the edge.
-static constexpr duration kPeersInterval = peer_roster::kBeatInterval / 2;
+static constexpr duration kPeersInterval = peer_table::kHeartbeatInterval / 2;
 /// What a leader said is being changed counts for so long.
 static constexpr duration kChangingTime = std::chrono::milliseconds(900);
 
@@ -43,20 +43,20 @@
   if (now - published_peers_at_ < kPeersInterval) {
     return;
   }
-  const size_t maybe_at_work = roster_.CountMaybeAtWork(now);
-  if (!roster_.TakeNews(now) && maybe_at_work == published_at_work_) {
+  const size_t possibly_active = roster_.CountPossiblyActive(now);
+  if (!roster_.TakeChanged(now) && possibly_active == published_at_work_) {
     return;
   }
-  std::vector<daemon_record> living = roster_.ListLiving(now);
+  std::vector<daemon_record> living = roster_.ListAlive(now);
   published_peers_at_ = now;
-  published_at_work_ = maybe_at_work;
+  published_at_work_ = possibly_active;
   NotePeerChanges(living);
   duty_.OnPeers(options_.self, living);
-  services_.FindPort<fleet_news>(kEdgeService)
-      .Post(peers_changed{.living = living,
+  services_.FindPort<fleet_event>(kEdgeService)
+      .Post(peers_changed{.alive = living,
                           .known = roster_.CountKnown(),
-                          .maybe_at_work = maybe_at_work,
-                          .notice_time = roster_.NoticeTime(),
+                          .possibly_active = possibly_active,
+                          .convergence_time = roster_.ConvergenceTime(),
                           .is_partial = roster_.IsPartial()});
   published_peers_ = std::move(living);
 }
@@ -72,7 +72,7 @@
                       .Add("staleness_ms", staleness)
                       .Add("revision", feed_.view().revision())
                       .Add("follows", feed_.IsFollowing()));
-  services_.FindPort<fleet_news>(kEdgeService)
+  services_.FindPort<fleet_event>(kEdgeService)
       .Post(items_staleness{.is_stale = is_stale});
 }
 
@@ -99,7 +99,7 @@
   }
 }
 
-static void LogKnowledge(event_log& log, const fleet_knowledge& knowledge) {
+static void LogKnowledge(event_log& log, const fleet_snapshot& knowledge) {
   std::string weights;
   for (const weights_version& item : knowledge.wanted_weights) {
     weights += (weights.empty() ? "" : " ") + item.model + "=" +
@@ -151,7 +151,7 @@
 }
 
 void fleet_task::LogAwaited(time_point now) {
-  const awaited_entries awaited = lapsed_.Awaits(now);
+  const store_recovery awaited = lapsed_.Recovery(now);
   if (awaited.event == 0 ||
       std::exchange(logged_return_, awaited.event) == awaited.event) {
     return;
@@ -165,10 +165,10 @@
 }
 
 void fleet_task::PublishUpstreams() {
-  for (const kept_change& item : upstreams_.TakeKeptChanges()) {
+  for (const retained_change& item : upstreams_.TakeRetainedChanges()) {
     const std::string text =
         item.id + "/removed_at_" + std::to_string(item.revision);
-    if (item.is_kept) {
+    if (item.is_retained) {
       kept_changes_.Add(text);
     } else {
       kept_changes_.Remove(text);
@@ -188,13 +188,13 @@
       upstream_changes_.Add(Describe(*item.after));
     }
   }
-  services_.FindPort<fleet_news>(kEdgeService)
+  services_.FindPort<fleet_event>(kEdgeService)
       .Post(upstreams_changed{.changes = std::move(changes),
                               .unreadable = unreadable,
                               .revision = feed_.view().revision()});
 }
 
-void fleet_task::Publish(std::shared_ptr<const fleet_knowledge> next) {
+void fleet_task::Publish(std::shared_ptr<const fleet_snapshot> next) {
   const bool is_new_plan = knowledge_ == nullptr ||
                            knowledge_->plan != next->plan ||
                            knowledge_->wanted_weights != next->wanted_weights;
@@ -212,8 +212,8 @@
   if (is_other_order) {
     LogKnowledge(with_.log, *next);
   }
-  services_.FindPort<fleet_news>(kEdgeService)
-      .Post(knowledge_changed{.knowledge = std::move(next)});
+  services_.FindPort<fleet_event>(kEdgeService)
+      .Post(fleet_snapshot_changed{.knowledge = std::move(next)});
   RunRollout(ReadBootClock());
   if (is_new_plan) {
     // Peers that the store turns away learn it from here.
@@ -231,7 +231,7 @@
   }
   if (changing != published_changing_) {
     published_changing_ = changing;
-    services_.FindPort<fleet_news>(kEdgeService)
+    services_.FindPort<fleet_event>(kEdgeService)
         .Post(weights_changing{.upstreams = std::move(changing)});
   }
 }
--- a/lib/Fleet/fleet_task.cc
+++ b/lib/Fleet/fleet_task.cc
@@ -47,7 +47,7 @@
                  }}),
       election_({.self_name = options_.self.name,
                  .key = options_.leader_key,
-                 .turn_gap = options_.leader_gap,
+                 .handover_gap = options_.leader_gap,
                  .claim_delay = std::chrono::milliseconds(
                      Hash64(options_.self.name, options_.self.incarnation) %
                      kClaimSpreadMs)},
@@ -94,7 +94,7 @@
     RecordQuarantines(ReadBootClock());
     return;
   }
-  if (const auto* quota = std::get_if<quota_send>(&message)) {
+  if (const auto* quota = std::get_if<outgoing_quota_message>(&message)) {
     std::visit(
         [&](const auto& item) {
           transport_->Send(quota->to, EncodePeerFrame(item));
@@ -109,7 +109,7 @@
     options_.self.is_ready = false;
     election_.Resign();
   }
-  roster_.RenewSelf();
+  roster_.IncrementSelfVersion();
   Announce();
 }
 
@@ -120,48 +120,48 @@
                     log_line("peer_frame_malformed").Add("size", bytes.size()));
     return false;
   }
-  if (const auto* beat = std::get_if<beat_frame>(&*frame)) {
+  if (const auto* beat = std::get_if<heartbeat_frame>(&*frame)) {
     OnBeat(*beat);
   } else if (const auto* request = std::get_if<items_request_frame>(&*frame)) {
     OnItemsRequest(*request);
-  } else if (const auto* ask = std::get_if<quota_ask>(&*frame)) {
-    services_.FindPort<fleet_news>(kEdgeService).Post(*ask);
-  } else if (const auto* verdict = std::get_if<quota_verdict>(&*frame)) {
-    services_.FindPort<fleet_news>(kEdgeService).Post(*verdict);
+  } else if (const auto* ask = std::get_if<quota_query>(&*frame)) {
+    services_.FindPort<fleet_event>(kEdgeService).Post(*ask);
+  } else if (const auto* verdict = std::get_if<quota_reply>(&*frame)) {
+    services_.FindPort<fleet_event>(kEdgeService).Post(*verdict);
   } else {
     OnItemsReply(std::get<items_reply_frame>(*frame));
   }
   return true;
 }
 
-void fleet_task::OnBeat(const beat_frame& beat) {
+void fleet_task::OnBeat(const heartbeat_frame& beat) {
   const time_point now = ReadBootClock();
-  const bool is_news = roster_.OnBeat(now, beat);
-  if (beat.evidence) {
-    staleness_.OnPeer(now, *beat.evidence,
+  const bool is_news = roster_.OnHeartbeat(now, beat);
+  if (beat.freshness) {
+    staleness_.OnPeer(now, *beat.freshness,
                       beat.sender.revision > feed_.view().revision());
   }
-  lapsed_.OnPeer(now, beat.sender.awaits, beat.evidence);
+  lapsed_.OnPeer(now, beat.sender.recovery, beat.freshness);
   if (!beat.changing.empty()) {
     leader_changing_ = beat.changing;
     leader_changing_at_ = now;
     PublishChanging();
   }
-  services_.FindPort<fleet_news>(kEdgeService)
+  services_.FindPort<fleet_event>(kEdgeService)
       .Post(peer_placements{.peer = beat.sender.name,
                             .mix = beat.mix,
                             .backlogs = beat.backlogs,
                             .prefixes = beat.prefixes});
   if (!beat.limits.empty()) {
-    services_.FindPort<fleet_news>(kEdgeService)
+    services_.FindPort<fleet_event>(kEdgeService)
         .Post(peer_limits{.peer = beat.sender.name, .limits = beat.limits});
   }
   if (!beat.quarantine.IsEmpty()) {
     if (roster_.IsPartial()) {
       crash_bulletin_.Relay(now, beat.quarantine);
     }
-    services_.FindPort<fleet_news>(kEdgeService)
-        .Post(peer_quarantine{.news = beat.quarantine});
+    services_.FindPort<fleet_event>(kEdgeService)
+        .Post(peer_quarantine{.update = beat.quarantine});
   }
   if (is_news) {
     PublishPeers(now);
@@ -169,9 +169,10 @@
   const bool awaits_list = beat.sender.revision == 0;
   // It has just started, and learns from this who has the items; or it learns
   // that others take it for gone.
-  const bool wants_answer = (awaits_list && feed_.view().HasRead()) ||
-                            roster_.MustHearSuspicion(beat.sender.peer_address);
-  if (wants_answer && roster_.TakeAnswerTurn(now, beat.sender.peer_address)) {
+  const bool wants_answer =
+      (awaits_list && feed_.view().HasRead()) ||
+      roster_.MustNotifySuspected(beat.sender.peer_address);
+  if (wants_answer && roster_.TryReserveReply(now, beat.sender.peer_address)) {
     SendBeat(beat.sender.peer_address);
   }
   AskPeers(now);
@@ -182,7 +183,7 @@
   if (!view.HasRead()) {
     return;
   }
-  if (request.after == 0 || !view.RemembersSince(request.after)) {
+  if (request.after == 0 || !view.HasHistorySince(request.after)) {
     transport_->Send(request.reply_to,
                      complete_list_.Get(ReadBootClock(), view, request.after));
     return;
@@ -191,7 +192,7 @@
                    EncodePeerFrame(items_reply_frame{
                        .revision = view.revision(),
                        .is_complete = false,
-                       .items = view.ListNewsSince(request.after)}));
+                       .items = view.ListRelayedSince(request.after)}));
 }
 
 void fleet_task::OnItemsReply(const items_reply_frame& reply) {
@@ -204,21 +205,21 @@
   const time_point now = ReadBootClock();
   daemon_record self = options_.self;
   self.version = roster_.self_version();
-  self.revision = feed_.view().news_revision();
+  self.revision = feed_.view().relay_revision();
   self.has_store = feed_.IsFresh(now, kStoreFresh);
-  self.awaits = lapsed_.Awaits(now);
-  beat_frame beat{.sender = self,
-                  .heard = roster_.NameLiving(now),
-                  .changing = {},
-                  .backlogs = own_backlogs_,
-                  .prefixes = placement_news_.TakeFor(to),
-                  .mix = own_mix_,
-                  .limits = own_limits_.limits,
-                  .quarantine = crash_bulletin_.TakeFor(now, to),
-                  .is_watched = roster_.IsWatcher(to),
-                  .members = roster_.TakeMemberNews(now, to),
-                  .evidence = staleness_.Youngest(now)};
-  for (limit_news& item : beat.limits) {
+  self.recovery = lapsed_.Recovery(now);
+  heartbeat_frame beat{.sender = self,
+                       .recent_peers = roster_.SampleAlive(now),
+                       .changing = {},
+                       .backlogs = own_backlogs_,
+                       .prefixes = placement_news_.TakeFor(to),
+                       .mix = own_mix_,
+                       .limits = own_limits_.limits,
+                       .quarantine = crash_bulletin_.TakeFor(now, to),
+                       .is_watched = roster_.IsWatcher(to),
+                       .members = roster_.TakeMemberUpdates(now, to),
+                       .freshness = staleness_.MostRecent(now)};
+  for (limit_update& item : beat.limits) {
     item.age += now - own_limits_.at;
   }
   if (election_.IsLeading(now)) {
@@ -234,7 +235,7 @@
 }
 
 void fleet_task::OnTick() {
-  beat_timer_.Start(peer_roster::kBeatInterval);
+  beat_timer_.Start(peer_table::kHeartbeatInterval);
   const time_point now = ReadBootClock();
   for (const endpoint& to : roster_.ChooseTargets(now)) {
     SendBeat(to);
@@ -245,7 +246,7 @@
   AskPeers(now);
   RegisterSelf();
   RecordQuarantines(now);
-  if (upstreams_.HasKept() && !lapsed_.IsAway(now)) {
+  if (upstreams_.HasRetained() && !lapsed_.IsStoreUnavailable(now)) {
     upstreams_.Expire(now, lapsed_.Window());
     PublishUpstreams();
   }
@@ -294,7 +295,7 @@
                      .expected = std::nullopt},
                     [this](const store_write& written) {
                       is_registering_ = false;
-                      is_registered_ = written.end == store_end::kDone;
+                      is_registered_ = written.end == store_status::kDone;
                       next_registration_ = ReadBootClock() + kRegistrationRetry;
                     });
 }
@@ -307,9 +308,9 @@
 
 void fleet_task::OnItemsChanged(std::span<const std::string> keys) {
   decoded_items decoded = with_.decoder.Decode(feed_.view(), keys);
-  feed_.MarkNews(decoded.news);
+  feed_.MarkForRelay(decoded.changed_keys);
   const time_point now = ReadBootClock();
-  for (const upstream_news& news : decoded.upstreams) {
+  for (const upstream_entry_update& news : decoded.upstreams) {
     upstreams_.Take(now, news, lapsed_.Window());
   }
   // Before a first configuration, with which the daemon begins to serve.
@@ -322,12 +323,13 @@
 }
 
 void fleet_task::DecideFollowing(time_point now) {
-  feed_.SetFollowing(duty_.Decide(now, {.self = options_.self,
-                                        .living = published_peers_,
-                                        .staleness = staleness_,
-                                        .answered_at = feed_.answered_at(),
-                                        .failed_at = feed_.failed_at(),
-                                        .known = roster_.CountKnown()}));
+  feed_.SetFollowing(
+      duty_.ShouldFollow(now, {.self = options_.self,
+                               .alive = published_peers_,
+                               .staleness = staleness_,
+                               .answered_at = feed_.answered_at(),
+                               .failed_at = feed_.failed_at(),
+                               .known = roster_.CountKnown()}));
 }
 
 void fleet_task::RunRollout(time_point now) {
@@ -345,7 +347,7 @@
                     log_line(is_leading ? "lead_taken" : "lead_lost")
                         .Add("fence", election_.fence()));
   }
-  if (!election_.MayOrder(now)) {
+  if (!election_.MaySendCommand(now)) {
     rollout_.Clear();
     PublishChanging();
     return;
@@ -366,32 +368,34 @@
 }
 
 void fleet_task::Perform(const rollout_step& step) {
-  if (!step.order) {
-    with_.engines.Ask(step,
-                      [this, step](const std::optional<engine_report>& report) {
-                        OnEngineReport(step, report);
-                      });
+  if (!step.command) {
+    with_.engines.QueryState(
+        step, [this, step](const std::optional<engine_report>& report) {
+          OnEngineReport(step, report);
+        });
     return;
   }
   // Between the decision and here the host may have been suspended; an order
   // that leaves after the lease has ended meets those of the next leader.
-  if (!election_.MayOrder(ReadBootClock())) {
-    rollout_.OnOrderEnd(ReadBootClock(), step.upstream, order_end::kConflict);
+  if (!election_.MaySendCommand(ReadBootClock())) {
+    rollout_.OnCommandResult(ReadBootClock(), step.upstream,
+                             command_result::kConflict);
     return;
   }
   with_.log.Write(log_class::kBelief,
                   log_line("order_sent")
                       .Add("upstream", step.upstream)
-                      .Add("model", step.order->weights.model)
-                      .Add("version", step.order->weights.version)
-                      .Add("accepted_orders", step.order->accepted_orders)
+                      .Add("model", step.command->weights.model)
+                      .Add("version", step.command->weights.version)
+                      .Add("accepted_orders", step.command->accepted_orders)
                       .Add("fence", election_.fence()));
-  with_.engines.Order(step, election_.fence(), [this, step](order_end end) {
-    with_.log.Write(log_class::kBelief, log_line("order_ended")
-                                            .Add("upstream", step.upstream)
-                                            .Add("end", ToString(end)));
-    rollout_.OnOrderEnd(ReadBootClock(), step.upstream, end);
-  });
+  with_.engines.SendCommand(
+      step, election_.fence(), [this, step](command_result end) {
+        with_.log.Write(log_class::kBelief, log_line("order_ended")
+                                                .Add("upstream", step.upstream)
+                                                .Add("end", ToString(end)));
+        rollout_.OnCommandResult(ReadBootClock(), step.upstream, end);
+      });
 }
 
 void fleet_task::OnEngineReport(const rollout_step& step,
--- a/lib/Fleet/item_feed.cc
+++ b/lib/Fleet/item_watcher.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Fleet/item_feed.h"
+#include "cuminswitch/Fleet/item_watcher.h"
 
 #include <algorithm>
 #include <utility>
@@ -23,24 +23,24 @@
 /// after a loss of power.
 static constexpr duration kLongestRetry = std::chrono::milliseconds(800);
 
-item_feed::item_feed(event_base* base,
-                     item_store& store,
-                     event_log& log,
-                     handlers calls)
+item_watcher::item_watcher(event_base* base,
+                           item_store& store,
+                           event_log& log,
+                           handlers calls)
     : store_(store),
       log_(log),
       handlers_(std::move(calls)),
       timer_(base, [this] { Next(); }) {}
 
-item_feed::~item_feed() {
+item_watcher::~item_watcher() {
   *alive_ = false;
 }
 
-void item_feed::Start() {
+void item_watcher::Start() {
   Next();
 }
 
-void item_feed::SetFollowing(bool follows) {
+void item_watcher::SetFollowing(bool follows) {
   if (std::exchange(is_following_, follows) != follows) {
     log_.Write(log_class::kBelief, log_line("store_following")
                                        .Add("follows", follows)
@@ -51,7 +51,7 @@
   }
 }
 
-void item_feed::Next() {
+void item_watcher::Next() {
   is_busy_ = is_following_ || must_read_all_;
   if (!is_busy_) {
     return;
@@ -64,7 +64,7 @@
   }
 }
 
-void item_feed::ReadAll() {
+void item_watcher::ReadAll() {
   store_.ReadAll([this, alive = alive_](const store_items& answer) {
     if (*alive) {
       OnItems(true, answer);
@@ -72,7 +72,7 @@
   });
 }
 
-void item_feed::Watch() {
+void item_watcher::Watch() {
   store_.Watch(view_.revision(), is_lost_ ? kProbeTime : kWatchTime,
                [this, alive = alive_](const store_items& answer) {
                  if (*alive) {
@@ -81,15 +81,15 @@
                });
 }
 
-void item_feed::OnItems(bool is_complete, const store_items& answer) {
-  if (answer.end == store_end::kHistoryGone) {
+void item_watcher::OnItems(bool is_complete, const store_items& answer) {
+  if (answer.end == store_status::kHistoryGone) {
     must_read_all_ = true;
     log_.Write(log_class::kBelief,
                log_line("store_history_gone").Add("after", view_.revision()));
     timer_.Start(duration(0));
     return;
   }
-  if (answer.end != store_end::kDone) {
+  if (answer.end != store_status::kDone) {
     OnFailure(answer.end);
     return;
   }
@@ -105,13 +105,13 @@
   }
 }
 
-void item_feed::MarkNews(std::span<const std::string> keys) {
+void item_watcher::MarkForRelay(std::span<const std::string> keys) {
   for (const std::string& key : keys) {
-    view_.MarkNews(key);
+    view_.MarkForRelay(key);
   }
 }
 
-void item_feed::OnSuccess() {
+void item_watcher::OnSuccess() {
   answered_at_ = ReadBootClock();
   pause_ = duration(0);
   if (std::exchange(is_lost_, false)) {
@@ -120,7 +120,7 @@
   }
 }
 
-void item_feed::OnFailure(store_end end) {
+void item_watcher::OnFailure(store_status end) {
   pause_ = std::clamp(pause_ * 2, kFirstRetry, kLongestRetry);
   failed_at_ = ReadBootClock();
   if (!std::exchange(is_lost_, true)) {
@@ -134,8 +134,8 @@
   timer_.Start(std::max(duration(0), pause_ - (failed_at_ - called_at_)));
 }
 
-void item_feed::OnPeerItems(const items_reply_frame& reply,
-                            const question& asked) {
+void item_watcher::OnPeerItems(const items_reply_frame& reply,
+                               const peer_request& asked) {
   const revision_number before = view_.revision();
   const std::vector<std::string> changed =
       reply.is_complete ? view_.ApplyAll(reply.items, reply.revision)
--- a/lib/Fleet/leader_election.cc
+++ b/lib/Fleet/leader_election.cc
@@ -18,7 +18,7 @@
   *alive_ = false;
 }
 
-bool leader_election::MayOrder(time_point now) const {
+bool leader_election::MaySendCommand(time_point now) const {
   return IsLeading(now) && now >= may_order_from_;
 }
 
@@ -54,7 +54,7 @@
 }
 
 void leader_election::OnLease(time_point asked_at, const store_lease& answer) {
-  if (answer.end != store_end::kDone) {
+  if (answer.end != store_status::kDone) {
     is_calling_ = false;
     next_call_ = now_ + kRetryInterval;
     return;
@@ -68,7 +68,7 @@
     }
     is_calling_ = false;
     next_call_ = now_ + kRetryInterval;
-    if (written.end != store_end::kDone) {
+    if (written.end != store_status::kDone) {
       // A write without answer may have been done; then the key goes with the
       // lease, which nobody renews.
       Lose();
@@ -79,7 +79,7 @@
     next_call_ = asked_at + kRenewInterval;
     // The predecessor sent its last order before its lease ended, which was
     // before this key could be written.
-    may_order_from_ = now_ + options_.turn_gap;
+    may_order_from_ = now_ + options_.handover_gap;
   };
   store_.Write({.key = options_.key,
                 .value = options_.self_name,
@@ -96,9 +96,9 @@
       return;
     }
     is_calling_ = false;
-    if (answer.end == store_end::kDone) {
+    if (answer.end == store_status::kDone) {
       valid_until_ = now + answer.time_to_live - kSafetyMargin;
-    } else if (answer.end == store_end::kNoLease) {
+    } else if (answer.end == store_status::kNoLease) {
       Lose();
     }
   };
--- a/lib/Fleet/peer_frame.cc
+++ b/lib/Fleet/peer_frame.cc
@@ -41,7 +41,7 @@
 
 /// Returns whether the news make sense.
 static bool ReadQuarantineNews(const fleet_wire::beat& wire,
-                               quarantine_news& news) {
+                               quarantine_update& news) {
   if (wire.crashes() != nullptr) {
     for (const fleet_wire::crash* item : *wire.crashes()) {
       if (!IsAge(item->age_us()) || !IsAge(item->took_us())) {
@@ -68,11 +68,11 @@
 }
 
 /// Returns nothing for a member that is not described whole.
-static std::optional<member_news> ReadMember(const fleet_wire::member& wire) {
-  member_news news{.record = {.name = wire.daemon()->str(),
-                              .incarnation = wire.incarnation(),
-                              .version = wire.version()},
-                   .is_suspected = wire.is_suspected()};
+static std::optional<member_update> ReadMember(const fleet_wire::member& wire) {
+  member_update news{.record = {.name = wire.daemon()->str(),
+                                .incarnation = wire.incarnation(),
+                                .version = wire.version()},
+                     .is_suspected = wire.is_suspected()};
   if (news.is_suspected) {
     return news;
   }
@@ -97,7 +97,7 @@
 }
 
 /// Returns whether the news make sense.
-static bool ReadMembers(const fleet_wire::beat& wire, beat_frame& frame) {
+static bool ReadMembers(const fleet_wire::beat& wire, heartbeat_frame& frame) {
   if (wire.members() == nullptr) {
     return true;
   }
@@ -105,7 +105,7 @@
     return false;
   }
   for (const fleet_wire::member* item : *wire.members()) {
-    std::optional<member_news> news = ReadMember(*item);
+    std::optional<member_update> news = ReadMember(*item);
     if (!news) {
       return false;
     }
@@ -121,7 +121,7 @@
   if (!peer_address || !caller_address) {
     return std::nullopt;
   }
-  beat_frame frame{
+  heartbeat_frame frame{
       .sender = {.name = wire.daemon()->str(),
                  .incarnation = wire.incarnation(),
                  .version = wire.version(),
@@ -132,11 +132,11 @@
                  .is_ready = wire.is_ready(),
                  .is_leaving = wire.is_leaving(),
                  .has_store = wire.has_store(),
-                 .awaits = {.event = wire.awaited_return(),
-                            .left = duration(wire.awaited_for_us()),
-                            .revision = wire.awaited_up_to()},
+                 .recovery = {.event = wire.awaited_return(),
+                              .left = duration(wire.awaited_for_us()),
+                              .revision = wire.awaited_up_to()},
                  .revision = wire.revision()},
-      .heard = {},
+      .recent_peers = {},
       .changing = ReadTexts(wire.changing()),
       .backlogs = {},
       .prefixes = {}};
@@ -161,11 +161,11 @@
     }
     frame.mix = {.requests = mix->requests(),
                  .prompt_tokens = mix->prompt_tokens(),
-                 .short_read = mix->short_read(),
-                 .long_read = mix->long_read(),
+                 .short_prefill = mix->short_read(),
+                 .long_prefill = mix->long_read(),
                  .short_held = mix->short_held(),
                  .seconds = mix->seconds(),
-                 .keeps_engines = mix->keeps_engines()};
+                 .reserves_engines = mix->keeps_engines()};
   }
   if (wire.limits() != nullptr) {
     for (const fleet_wire::limit* item : *wire.limits()) {
@@ -187,8 +187,8 @@
     if (!IsAge(wire.store_answer_age_us())) {
       return std::nullopt;
     }
-    frame.evidence = {.witness = wire.store_witness(),
-                      .age = duration(wire.store_answer_age_us())};
+    frame.freshness = {.daemon_hash = wire.store_witness(),
+                       .age = duration(wire.store_answer_age_us())};
   }
   if (!ReadQuarantineNews(wire, frame.quarantine) ||
       !ReadMembers(wire, frame)) {
@@ -196,7 +196,7 @@
   }
   for (const std::string& text : ReadTexts(wire.heard())) {
     if (const auto address = ParseEndpoint(text)) {
-      frame.heard.push_back(*address);
+      frame.recent_peers.push_back(*address);
     }
   }
   return frame;
@@ -260,27 +260,27 @@
   if (!from || !is_sound) {
     return std::nullopt;
   }
-  quota_ask ask{.from = *from,
-                .ticket = wire.ticket(),
-                .kind = wire.is_upstream() ? quota_kind::kUpstream
-                                           : quota_kind::kWorkspace,
-                .subject = wire.subject(),
-                .limit = {.rate = wire.rate(),
-                          .burst = wire.burst(),
-                          .version = wire.version()},
-                .limit_age = duration(wire.limit_age_us()),
-                .weight = wire.weight(),
-                .digest = wire.digest(),
-                .patience = duration(wire.patience_us()),
-                .is_final = wire.is_final(),
-                .told = std::nullopt};
+  quota_query ask{.from = *from,
+                  .ticket = wire.ticket(),
+                  .kind = wire.is_upstream() ? quota_kind::kUpstream
+                                             : quota_kind::kWorkspace,
+                  .subject = wire.subject(),
+                  .limit = {.rate = wire.rate(),
+                            .burst = wire.burst(),
+                            .version = wire.version()},
+                  .limit_age = duration(wire.limit_age_us()),
+                  .weight = wire.weight(),
+                  .digest = wire.digest(),
+                  .max_wait = duration(wire.patience_us()),
+                  .is_final = wire.is_final(),
+                  .last_level = std::nullopt};
   if (const fleet_wire::quota_level* told = wire.told()) {
     if (!AreFinite({told->level()}) || told->age_us() < 0) {
       return std::nullopt;
     }
-    ask.told = quota_level{.owner = told->owner(),
-                           .level = told->level(),
-                           .age = duration(told->age_us())};
+    ask.last_level = quota_level{.owner = told->owner(),
+                                 .level = told->level(),
+                                 .age = duration(told->age_us())};
   }
   return ask;
 }
@@ -291,14 +291,14 @@
   if (!AreFinite({body.level(), body.share()}) || body.retry_after_us() < 0) {
     return std::nullopt;
   }
-  return quota_verdict{.kind = wire.is_upstream() ? quota_kind::kUpstream
-                                                  : quota_kind::kWorkspace,
-                       .ticket = body.ticket(),
-                       .is_admitted = body.is_admitted(),
-                       .retry_after = duration(body.retry_after_us()),
-                       .owner = body.owner(),
-                       .level = body.level(),
-                       .share = body.share()};
+  return quota_reply{.kind = wire.is_upstream() ? quota_kind::kUpstream
+                                                : quota_kind::kWorkspace,
+                     .ticket = body.ticket(),
+                     .is_admitted = body.is_admitted(),
+                     .retry_after = duration(body.retry_after_us()),
+                     .owner = body.owner(),
+                     .level = body.level(),
+                     .share = body.share()};
 }
 
 std::optional<peer_frame> DecodePeerFrame(std::span<const uint8_t> bytes) {
--- a/lib/Fleet/peer_frame_writer.cc
+++ b/lib/Fleet/peer_frame_writer.cc
@@ -40,10 +40,10 @@
 
   fleet_wire::body type() const { return type_; }
 
-  flatbuffers::Offset<void> operator()(const beat_frame& frame) {
+  flatbuffers::Offset<void> operator()(const heartbeat_frame& frame) {
     type_ = fleet_wire::body_beat;
     std::vector<std::string> heard;
-    for (const endpoint& item : frame.heard) {
+    for (const endpoint& item : frame.recent_peers) {
       heard.push_back(item.ToString());
     }
     std::vector<fleet_wire::load> loads;
@@ -57,33 +57,34 @@
                             item.saved_weights);
     }
     std::vector<fleet_wire::limit> limits;
-    for (const limit_news& item : frame.limits) {
+    for (const limit_update& item : frame.limits) {
       limits.emplace_back(item.upstream, item.rate, item.age.count(),
                           item.has_ended);
     }
     std::vector<fleet_wire::crash> crashes;
-    for (const crash_news& item : frame.quarantine.crashes) {
+    for (const crash_report& item : frame.quarantine.crashes) {
       crashes.emplace_back(item.request.high, item.request.low, item.upstream,
                            item.age.count(), item.took.count());
     }
     std::vector<fleet_wire::completion> completions;
-    for (const completion_news& item : frame.quarantine.completions) {
+    for (const completion_report& item : frame.quarantine.completions) {
       completions.emplace_back(item.request.high, item.request.low,
                                item.age.count());
     }
     std::vector<flatbuffers::Offset<fleet_wire::member>> members;
-    for (const member_news& item : frame.members) {
+    for (const member_update& item : frame.members) {
       members.push_back(WriteMember(item));
     }
     const fleet_wire::prompt_mix mix(
         static_cast<float>(frame.mix.requests),
         static_cast<float>(frame.mix.prompt_tokens),
-        static_cast<float>(frame.mix.short_read),
-        static_cast<float>(frame.mix.long_read),
+        static_cast<float>(frame.mix.short_prefill),
+        static_cast<float>(frame.mix.long_prefill),
         static_cast<float>(frame.mix.short_held),
-        static_cast<float>(frame.mix.seconds), frame.mix.keeps_engines);
+        static_cast<float>(frame.mix.seconds), frame.mix.reserves_engines);
     const daemon_record& sender = frame.sender;
-    const store_evidence evidence = frame.evidence.value_or(store_evidence());
+    const freshness_record evidence =
+        frame.freshness.value_or(freshness_record());
     return fleet_wire::Createbeat(
                out_, out_.CreateString(sender.name), sender.incarnation,
                out_.CreateString(sender.peer_address.ToString()),
@@ -97,9 +98,10 @@
                out_.CreateVectorOfStructs(limits),
                out_.CreateVectorOfStructs(crashes),
                out_.CreateVectorOfStructs(completions), sender.version,
-               frame.is_watched, out_.CreateVector(members), evidence.witness,
-               evidence.age.count(), sender.awaits.event,
-               sender.awaits.left.count(), sender.awaits.revision)
+               frame.is_watched, out_.CreateVector(members),
+               evidence.daemon_hash, evidence.age.count(),
+               sender.recovery.event, sender.recovery.left.count(),
+               sender.recovery.revision)
         .Union();
   }
 
@@ -122,22 +124,23 @@
         .Union();
   }
 
-  flatbuffers::Offset<void> operator()(const quota_ask& ask) {
+  flatbuffers::Offset<void> operator()(const quota_query& ask) {
     type_ = fleet_wire::body_quota_ask;
     fleet_wire::quota_level told;
-    if (ask.told) {
-      told = {ask.told->owner, ask.told->level, ask.told->age.count()};
+    if (ask.last_level) {
+      told = {ask.last_level->owner, ask.last_level->level,
+              ask.last_level->age.count()};
     }
     return fleet_wire::Createquota_ask(
                out_, out_.CreateString(ask.from.ToString()), ask.ticket,
                ask.subject, ask.limit.rate, ask.limit.burst, ask.limit.version,
-               ask.weight, ask.digest, ask.patience.count(),
-               ask.told ? &told : nullptr, ask.is_final,
+               ask.weight, ask.digest, ask.max_wait.count(),
+               ask.last_level ? &told : nullptr, ask.is_final,
                ask.kind == quota_kind::kUpstream, ask.limit_age.count())
         .Union();
   }
 
-  flatbuffers::Offset<void> operator()(const quota_verdict& verdict) {
+  flatbuffers::Offset<void> operator()(const quota_reply& verdict) {
     type_ = fleet_wire::body_quota_verdict;
     const fleet_wire::quota_verdict_body body(
         verdict.ticket, verdict.retry_after.count(), verdict.owner,
@@ -148,7 +151,8 @@
   }
 
  private:
-  flatbuffers::Offset<fleet_wire::member> WriteMember(const member_news& news) {
+  flatbuffers::Offset<fleet_wire::member> WriteMember(
+      const member_update& news) {
     const daemon_record& record = news.record;
     const auto name = out_.CreateString(record.name);
     if (news.is_suspected) {
--- a/lib/Fleet/upstream_directory.cc
+++ b/lib/Fleet/upstream_directory.cc
@@ -4,7 +4,7 @@
 #include <tuple>
 #include <utility>
 
-#include "cuminswitch/Fleet/lapsed_upstreams.h"
+#include "cuminswitch/Fleet/store_outage_tracker.h"
 #include "cuminswitch/Support/hash.h"
 
 namespace cuminswitch {
@@ -21,7 +21,7 @@
 /// Whether an upstream that was removed at \p revision may live.
 static bool MayHaveLapsed(time_point now,
                           revision_number revision,
-                          const lapse_window& window) {
+                          const recovery_window& window) {
   return now < window.until && revision <= window.last_removal;
 }
 
@@ -31,8 +31,8 @@
 }
 
 void upstream_directory::Take(time_point now,
-                              const upstream_news& news,
-                              const lapse_window& window) {
+                              const upstream_entry_update& news,
+                              const recovery_window& window) {
   unreadable_.erase(news.id);
   if (news.entry != nullptr) {
     Put(news.entry);
@@ -49,14 +49,14 @@
     last_kept_removal_ = std::max(last_kept_removal_, news.revision);
     if (kept_.insert(news.id).second) {
       kept_changes_.push_back(
-          {.id = news.id, .revision = news.revision, .is_kept = true});
+          {.id = news.id, .revision = news.revision, .is_retained = true});
     }
     return;
   }
   Remove(news.id);
 }
 
-void upstream_directory::Expire(time_point now, const lapse_window& window) {
+void upstream_directory::Expire(time_point now, const recovery_window& window) {
   if (MayHaveLapsed(now, last_kept_removal_, window)) {
     return;
   }
@@ -113,7 +113,7 @@
   if (kept_.erase(id) != 0) {
     kept_changes_.push_back({.id = id,
                              .revision = states_.find(id)->second.removed_at,
-                             .is_kept = false});
+                             .is_retained = false});
   }
 }
 
--- a/lib/Once/shard_ledger.cc
+++ b/lib/Once/shard_journal.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Once/shard_ledger.h"
+#include "cuminswitch/Once/shard_journal.h"
 
 #include <algorithm>
 #include <cassert>
@@ -12,12 +12,12 @@
 static constexpr uint32_t kRefusedRetrySeconds = 2;
 static constexpr duration kReadBackInterval = std::chrono::milliseconds(500);
 
-shard_ledger::shard_ledger(const options& opts) : options_(opts) {}
+shard_journal::shard_journal(const options& opts) : options_(opts) {}
 
-void shard_ledger::Call(pending_call kind,
-                        platform_operation operation,
-                        std::string value,
-                        action_list& out) {
+void shard_journal::Call(pending_call kind,
+                         platform_operation operation,
+                         std::string value,
+                         action_list& out) {
   call_ = kind;
   ++call_serial_;
   if (operation == platform_operation::kCompareAndSwap) {
@@ -32,7 +32,7 @@
                               .expected = revision_});
 }
 
-void shard_ledger::Claim(action_list& out) {
+void shard_journal::Claim(action_list& out) {
   if (state_ != ownership::kNone || call_ != pending_call::kNone) {
     return;
   }
@@ -40,7 +40,7 @@
   Call(pending_call::kClaimRead, platform_operation::kRead, {}, out);
 }
 
-shard_record shard_ledger::MakeRecord() const {
+shard_record shard_journal::MakeRecord() const {
   shard_record record{.epoch = epoch_,
                       .owner_host = options_.host,
                       .owner_incarnation = options_.incarnation,
@@ -59,8 +59,8 @@
   return record;
 }
 
-void shard_ledger::AdoptRecord(const shard_record& record,
-                               revision_number revision) {
+void shard_journal::AdoptRecord(const shard_record& record,
+                                revision_number revision) {
   epoch_ = record.epoch;
   revision_ = revision;
   floor_ = record.floor;
@@ -74,7 +74,7 @@
   }
 }
 
-void shard_ledger::HandBack(uint64_t unix_now, action_list& out) {
+void shard_journal::Release(uint64_t unix_now, action_list& out) {
   if (state_ != ownership::kOwned || call_ != pending_call::kNone) {
     return;
   }
@@ -87,14 +87,14 @@
        EncodeShardRecord(record), out);
 }
 
-bool shard_ledger::IsExpired(uint64_t unix_now, uint64_t issued) const {
+bool shard_journal::IsExpired(uint64_t unix_now, uint64_t issued) const {
   const auto retention = static_cast<uint64_t>(options_.retention.count());
   const auto skew = static_cast<uint64_t>(options_.clock_skew.count());
   return issued <= floor_ || issued + retention < unix_now ||
          issued > unix_now + skew;
 }
 
-void shard_ledger::Prune(uint64_t unix_now) {
+void shard_journal::Prune(uint64_t unix_now) {
   const uint64_t keep =
       static_cast<uint64_t>((options_.retention + options_.clock_skew).count());
   if (unix_now <= keep) {
@@ -111,11 +111,11 @@
   });
 }
 
-void shard_ledger::Reply(const grantee& asker,
-                         start_verdict verdict,
-                         action_list& out,
-                         const recorded_answer& answer) const {
-  const bool refused = verdict == start_verdict::kRefused;
+void shard_journal::Reply(const grantee& asker,
+                          start_result verdict,
+                          action_list& out,
+                          const recorded_response& answer) const {
+  const bool refused = verdict == start_result::kRefused;
   out.push_back(send_peer{
       .to = asker.reply_to,
       .message =
@@ -126,22 +126,22 @@
                       .answer = answer}});
 }
 
-void shard_ledger::AnswerRepeat(time_point now,
-                                entry& found,
-                                const start_request& request,
-                                action_list& out) {
+void shard_journal::AnswerRepeat(time_point now,
+                                 entry& found,
+                                 const start_request& request,
+                                 action_list& out) {
   const grantee asker{.reply_to = request.reply_to,
                       .host = request.host,
                       .incarnation = request.incarnation,
                       .request = request.request};
   if (found.request_digest != request.request_digest) {
-    Reply(asker, start_verdict::kMismatch, out);
+    Reply(asker, start_result::kMismatch, out);
     return;
   }
   switch (found.state) {
     case entry_state::kPending:
       if (!found.asker.IsSame(request)) {
-        Reply(asker, start_verdict::kStarted, out);
+        Reply(asker, start_result::kStarted, out);
       }
       return;
     case entry_state::kUngranted:
@@ -154,34 +154,34 @@
       // The same request asks again when the grant's message was lost. An
       // asker uses one grant per request, so granting again is idempotent.
       Reply(asker,
-            found.asker.IsSame(request) ? start_verdict::kGranted
-                                        : start_verdict::kStarted,
+            found.asker.IsSame(request) ? start_result::kGranted
+                                        : start_result::kStarted,
             out);
       return;
     case entry_state::kAnswered:
-      Reply(asker, start_verdict::kAnswered, out, found.answer);
+      Reply(asker, start_result::kAnswered, out, found.answer);
       return;
     case entry_state::kRecovered:
     case entry_state::kEndUnknown:
-      Reply(asker, start_verdict::kStarted, out);
+      Reply(asker, start_result::kStarted, out);
       return;
   }
 }
 
-void shard_ledger::OnStart(time_point now,
-                           uint64_t unix_now,
-                           const start_request& request,
-                           action_list& out) {
+void shard_journal::OnStart(time_point now,
+                            uint64_t unix_now,
+                            const start_request& request,
+                            action_list& out) {
   const grantee asker{.reply_to = request.reply_to,
                       .host = request.host,
                       .incarnation = request.incarnation,
                       .request = request.request};
   if (state_ != ownership::kOwned && state_ != ownership::kUncertain) {
-    Reply(asker, start_verdict::kNotOwner, out);
+    Reply(asker, start_result::kNotOwner, out);
     return;
   }
   if (IsExpired(unix_now, request.key_issued)) {
-    Reply(asker, start_verdict::kExpired, out);
+    Reply(asker, start_result::kExpired, out);
     return;
   }
   const auto found = entries_.find(request.key);
@@ -191,7 +191,7 @@
   // at once instead of holding the caller.
   if (is_new && (state_ == ownership::kUncertain ||
                  entries_.size() >= options_.max_entries)) {
-    Reply(asker, start_verdict::kRefused, out);
+    Reply(asker, start_result::kRefused, out);
     return;
   }
   if (found != entries_.end()) {
@@ -207,7 +207,9 @@
   Commit(now, unix_now, out);
 }
 
-void shard_ledger::Commit(time_point now, uint64_t unix_now, action_list& out) {
+void shard_journal::Commit(time_point now,
+                           uint64_t unix_now,
+                           action_list& out) {
   const bool may_write = state_ == ownership::kOwned &&
                          call_ == pending_call::kNone && now >= next_write_;
   if (!may_write || waiting_.empty()) {
@@ -221,7 +223,9 @@
        EncodeShardRecord(MakeRecord()), out);
 }
 
-void shard_ledger::OnTick(time_point now, uint64_t unix_now, action_list& out) {
+void shard_journal::OnTick(time_point now,
+                           uint64_t unix_now,
+                           action_list& out) {
   if (state_ == ownership::kUncertain && call_ == pending_call::kNone &&
       now >= next_read_back_) {
     Call(pending_call::kReadBack, platform_operation::kRead, {}, out);
@@ -230,10 +234,10 @@
   Commit(now, unix_now, out);
 }
 
-void shard_ledger::OnPlatformAnswer(time_point now,
-                                    uint64_t unix_now,
-                                    const platform_answer& answer,
-                                    action_list& out) {
+void shard_journal::OnPlatformAnswer(time_point now,
+                                     uint64_t unix_now,
+                                     const platform_reply& answer,
+                                     action_list& out) {
   if (answer.tag.serial != call_serial_ || call_ == pending_call::kNone) {
     return;
   }
@@ -264,8 +268,8 @@
   Commit(now, unix_now, out);
 }
 
-void shard_ledger::OnClaimRead(const platform_answer& answer,
-                               action_list& out) {
+void shard_journal::OnClaimRead(const platform_reply& answer,
+                                action_list& out) {
   if (answer.status == platform_status::kNoAnswer) {
     state_ = ownership::kNone;
     return;
@@ -280,8 +284,8 @@
        EncodeShardRecord(MakeRecord()), out);
 }
 
-void shard_ledger::OnClaimWrite(const platform_answer& answer,
-                                action_list& out) {
+void shard_journal::OnClaimWrite(const platform_reply& answer,
+                                 action_list& out) {
   switch (answer.status) {
     case platform_status::kOk:
       revision_ = answer.revision;
@@ -297,9 +301,9 @@
   }
 }
 
-void shard_ledger::OnCommit(time_point now,
-                            const platform_answer& answer,
-                            action_list& out) {
+void shard_journal::OnCommit(time_point now,
+                             const platform_reply& answer,
+                             action_list& out) {
   switch (answer.status) {
     case platform_status::kOk:
       revision_ = answer.revision;
@@ -322,9 +326,9 @@
   }
 }
 
-void shard_ledger::OnReadBack(time_point now,
-                              const platform_answer& answer,
-                              action_list& out) {
+void shard_journal::OnReadBack(time_point now,
+                               const platform_reply& answer,
+                               action_list& out) {
   if (answer.status == platform_status::kNoAnswer) {
     next_read_back_ = now + kReadBackInterval;
     RefusePending(out);
@@ -349,7 +353,7 @@
   committing_.clear();
 }
 
-void shard_ledger::GrantCommitted(action_list& out) {
+void shard_journal::GrantCommitted(action_list& out) {
   for (const key_hash& key : committing_) {
     const auto found = entries_.find(key);
     if (found == entries_.end() ||
@@ -357,29 +361,29 @@
       continue;
     }
     found->second.state = entry_state::kGranted;
-    Reply(found->second.asker, start_verdict::kGranted, out);
+    Reply(found->second.asker, start_result::kGranted, out);
   }
   committing_.clear();
 }
 
-void shard_ledger::RefusePending(action_list& out) {
+void shard_journal::RefusePending(action_list& out) {
   for (auto& [key, item] : entries_) {
     if (item.state == entry_state::kPending) {
       item.state = entry_state::kUngranted;
-      Reply(item.asker, start_verdict::kRefused, out);
+      Reply(item.asker, start_result::kRefused, out);
     }
   }
   waiting_.clear();
   committing_.clear();
 }
 
-void shard_ledger::Depose(action_list& out) {
+void shard_journal::Depose(action_list& out) {
   RefusePending(out);
   entries_.clear();
   state_ = ownership::kNone;
 }
 
-void shard_ledger::OnFinish(const finish_report& report) {
+void shard_journal::OnFinish(const finish_report& report) {
   const auto found = entries_.find(report.key);
   if (found == entries_.end()) {
     return;
@@ -398,7 +402,7 @@
   }
 }
 
-void shard_ledger::OnRelease(const release_report& report) {
+void shard_journal::OnRelease(const release_report& report) {
   const auto found = entries_.find(report.key);
   if (found == entries_.end()) {
     return;
--- a/lib/Routing/cache_planner.cc
+++ b/lib/Routing/cache_planner.cc
@@ -37,7 +37,7 @@
 /// Plans one request.
 class planner {
  public:
-  planner(const cache_question& question, const prefix_level& shared)
+  planner(const cache_plan_query& question, const prefix_level& shared)
       : question_(question),
         model_(question.model),
         shared_(shared),
@@ -86,15 +86,15 @@
 
   prefix_origin OriginOf(const cache_plan& plan, bool was_saved) const {
     if (plan.hit_chance >= kSureHit) {
-      return prefix_origin::kKept;
+      return prefix_origin::kLocal;
     }
     if (plan.source) {
       return !plan.is_from_store ? prefix_origin::kEngine
              : was_saved         ? prefix_origin::kStore
-                                 : prefix_origin::kStoreUntold;
+                                 : prefix_origin::kStoreAssumed;
     }
     if (plan.hit_chance >= kLeastChanceToAsk) {
-      return prefix_origin::kKept;
+      return prefix_origin::kLocal;
     }
     return was_saved ? prefix_origin::kOverBudget : WhyNoEngine();
   }
@@ -110,7 +110,7 @@
           (holder.index == question_.chosen ||
            std::binary_search(question_.eligible.begin(),
                               question_.eligible.end(), holder.index));
-      prefix_origin reason = prefix_origin::kForgotten;
+      prefix_origin reason = prefix_origin::kEvicted;
       if (!serves) {
         reason = prefix_origin::kGone;
       } else if (question_.replicas.VersionAt(holder.index, model_.name) !=
@@ -125,7 +125,8 @@
   /// A store in the failure domain of the prefix's home, where there is one:
   /// that is where most of its copies go.
   const cache_store_spec* ChooseStore() const {
-    const auto home = question_.replicas.HomeOf(model_.name, shared_.hash);
+    const auto home =
+        question_.replicas.PreferredReplica(model_.name, shared_.hash);
     const std::string domain =
         home ? question_.replicas[*home].spec.failure_domain : std::string();
     const cache_store_spec* best = nullptr;
@@ -224,7 +225,7 @@
     return question_.replicas[best->index].spec.address;
   }
 
-  const cache_question& question_;
+  const cache_plan_query& question_;
   const model_spec& model_;
   const prefix_level& shared_;
   std::string version_;
@@ -245,7 +246,7 @@
   return tokens > kLeastSecondsToCopy * prefill_rate;
 }
 
-cache_plan PlanCache(const cache_question& question) {
+cache_plan PlanCache(const cache_plan_query& question) {
   const prefix_level* shared = FindSharedLevel(question.levels);
   if (shared == nullptr) {
     return {};
--- a/lib/Routing/replica_table.cc
+++ b/lib/Routing/replica_table.cc
@@ -190,7 +190,7 @@
   item.others_waiting = 0;
   item.failures_in_row = 0;
   item.ejected_until = {};
-  item.rest_until = {};
+  item.backoff_until = {};
   item.says_leaving = false;
   item.answers.Reset();
 }
@@ -312,8 +312,9 @@
   --item.in_flight;
 }
 
-std::optional<replica_index> replica_table::HomeOf(std::string_view target,
-                                                   uint64_t prefix) const {
+std::optional<replica_index> replica_table::PreferredReplica(
+    std::string_view target,
+    uint64_t prefix) const {
   const auto found = by_target_.find(target);
   if (found == by_target_.end()) {
     return std::nullopt;
--- a/lib/Routing/target_estimate.cc
+++ b/lib/Routing/target_estimate.cc
@@ -32,7 +32,7 @@
       kFirstByteLearningRate * (ToSeconds(took) - first_byte_seconds_);
 }
 
-duration target_estimate::UsualFirstByte() const {
+duration target_estimate::MeanFirstByte() const {
   return FromSeconds(first_byte_seconds_);
 }
 
@@ -41,9 +41,9 @@
   return excess.seconds * std::exp(-age / kExcessSeconds);
 }
 
-void target_estimate::LearnExcess(time_point now,
-                                  priority_class priority,
-                                  duration excess) {
+void target_estimate::LearnPredictionError(time_point now,
+                                           priority_class priority,
+                                           duration excess) {
   learnt_excess& known = excesses_[static_cast<size_t>(priority)];
   const double before = ExcessAt(now, known);
   known = {
@@ -51,8 +51,8 @@
       .at = now};
 }
 
-duration target_estimate::UsualExcess(time_point now,
-                                      priority_class priority) const {
+duration target_estimate::MeanPredictionError(time_point now,
+                                              priority_class priority) const {
   const double seconds =
       ExcessAt(now, excesses_[static_cast<size_t>(priority)]);
   return FromSeconds(std::max(0.0, seconds));
--- a/unittests/Admission/load_shedder_test.cc
+++ b/unittests/Admission/load_shedder_test.cc
@@ -10,13 +10,13 @@
 
 using std::chrono::milliseconds;
 
-shed_question Question(int waited_ms,
-                       int expected_ms,
-                       priority_class priority = priority_class::kStandard) {
+shedding_query Question(int waited_ms,
+                        int expected_ms,
+                        priority_class priority = priority_class::kStandard) {
   return {.waited = milliseconds(waited_ms),
           .expected = milliseconds(expected_ms),
           .target = milliseconds(800),
-          .longest_silence = milliseconds(4000),
+          .caller_idle_timeout = milliseconds(4000),
           .priority = priority};
 }
 
--- a/unittests/Admission/quota_fleet.h
+++ b/unittests/Admission/quota_fleet.h
@@ -27,7 +27,7 @@
   struct options {
     size_t daemons = 68;
     quota_way way = quota_way::kOwner;
-    quota_fallback fallback = quota_fallback::kEvenPart;
+    quota_fallback fallback = quota_fallback::kEvenShare;
     uint64_t seed = 1;
     /// How long after a change a daemon knows it; spread over the fleet.
     double detection_seconds = 2.2;
@@ -113,7 +113,7 @@
   };
 
   time_point ClockOf(const daemon& item) const;
-  duration NoticeTime() const;
+  duration ConvergenceTime() const;
   void Start(size_t index);
   void TellFleet(size_t index);
   /// All learn of a change, each at its own time.
@@ -123,7 +123,7 @@
   void AwaitTurn(const sent_request& request, double wait);
   void Settle(size_t index);
   void OnDecision(const quota_decision& decision);
-  void Deliver(size_t from, const quota_send& sent);
+  void Deliver(size_t from, const outgoing_quota_message& sent);
   bool Reaches(size_t from, size_t to) const;
   double Uniform(double low, double high);
   void ScheduleArrivals(const load& callers, double until);
--- a/unittests/Core/upstream_limit_test.cc
+++ b/unittests/Core/upstream_limit_test.cc
@@ -60,7 +60,7 @@
                        .time_limit = kPatience},
                       out_);
   }
-  void Answer(const permit_question& asked,
+  void Answer(const permit_request& asked,
               bool is_granted,
               duration wait = {}) {
     router_.OnPermit(now_,
@@ -70,8 +70,8 @@
                       .retry_after = wait},
                      out_);
   }
-  std::optional<permit_question> TakeQuestion() {
-    const auto list = router_.TakePermitQuestions();
+  std::optional<permit_request> TakeQuestion() {
+    const auto list = router_.TakePermitRequests();
     return list.empty() ? std::nullopt : std::optional(list.front());
   }
   template <class Action>
@@ -130,7 +130,7 @@
   Answer(*TakeQuestion(), false, std::chrono::seconds(1));
   Answer(*TakeQuestion(), false, std::chrono::seconds(2));
   EXPECT_FALSE(Take<dispatch_attempt>());
-  EXPECT_FALSE(Take<answer_request>());
+  EXPECT_FALSE(Take<local_response>());
   now_ += std::chrono::milliseconds(990);
   router_.OnTick(now_, out_);
   EXPECT_FALSE(TakeQuestion());
@@ -151,7 +151,7 @@
   Arrive(1);
   Answer(*TakeQuestion(), false, std::chrono::seconds(7));
   Answer(*TakeQuestion(), false, std::chrono::seconds(6));
-  const auto refused = Take<answer_request>();
+  const auto refused = Take<local_response>();
   ASSERT_TRUE(refused);
   EXPECT_EQ(refused->result, outcome::kNotRun);
   EXPECT_EQ(refused->status, 429U);
--- a/unittests/Core/upstream_notice_test.cc
+++ b/unittests/Core/upstream_notice_test.cc
@@ -62,7 +62,7 @@
   }
   /// The upstream of \p sent refuses it and asks for rest.
   void AskForRest(const dispatch_attempt& sent, duration rest) {
-    router_.OnRestAsked(now_, sent.attempt, rest);
+    router_.OnBackoffRequested(now_, sent.attempt, rest);
     router_.OnAttemptEnded(now_,
                            {.attempt = sent.attempt,
                             .result = outcome::kNotRun,
@@ -88,7 +88,7 @@
             now_, {.attempt = sent->attempt, .result = outcome::kAnswered},
             out_);
       }
-      EXPECT_FALSE(TakeAction<answer_request>(out_));
+      EXPECT_FALSE(TakeAction<local_response>(out_));
     }
     return used;
   }
@@ -137,7 +137,7 @@
   now_ += seconds(1);
   Arrive();
   EXPECT_FALSE(TakeSent());
-  const auto answer = TakeAction<answer_request>(out_);
+  const auto answer = TakeAction<local_response>(out_);
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->result, outcome::kNotRun);
   EXPECT_EQ(answer->status, 503U);
@@ -150,7 +150,7 @@
   RestAll(milliseconds(500));
   Arrive();
   EXPECT_FALSE(TakeSent());
-  EXPECT_FALSE(TakeAction<answer_request>(out_));
+  EXPECT_FALSE(TakeAction<local_response>(out_));
   now_ += milliseconds(510);
   router_.OnTick(now_, out_);
   EXPECT_TRUE(TakeSent());
@@ -176,12 +176,12 @@
                     {.kind = notice_kind::kNamed, .rate = 5});
   }
   Arrive();
-  auto asked = router_.TakePermitQuestions();
+  auto asked = router_.TakePermitRequests();
   ASSERT_EQ(asked.size(), 1U);
   // The upstream that is asked about wants rest meanwhile.
   const uint64_t upstream = asked[0].upstream;
   ASSERT_TRUE(sent.upstream.size() == 1);
-  router_.OnRestAsked(now_, sent.attempt, seconds(3));
+  router_.OnBackoffRequested(now_, sent.attempt, seconds(3));
   router_.OnPermit(
       now_,
       {.request = asked[0].request, .upstream = upstream, .is_granted = true},
@@ -193,8 +193,8 @@
 TEST_F(upstream_notice_test, OneThatSaysThatItLeavesGetsNothing) {
   Arrive();
   const auto sent = *TakeSent();
-  EXPECT_TRUE(router_.OnLeavingSaid(sent.attempt));
-  EXPECT_FALSE(router_.OnLeavingSaid(sent.attempt)) << "it was said before";
+  EXPECT_TRUE(router_.OnUpstreamLeaving(sent.attempt));
+  EXPECT_FALSE(router_.OnUpstreamLeaving(sent.attempt)) << "it was said before";
   router_.OnAttemptEnded(
       now_, {.attempt = sent.attempt, .result = outcome::kAnswered}, out_);
   out_.clear();
@@ -205,12 +205,12 @@
 TEST_F(upstream_notice_test, NoticesAreOfOneStart) {
   Arrive();
   const auto sent = *TakeSent();
-  router_.OnLeavingSaid(sent.attempt);
-  router_.OnRestAsked(now_, sent.attempt, seconds(60));
+  router_.OnUpstreamLeaving(sent.attempt);
+  router_.OnBackoffRequested(now_, sent.attempt, seconds(60));
   Start(sent.upstream, 2);
   // What the earlier start says afterwards is not of this one.
-  EXPECT_FALSE(router_.OnLeavingSaid(sent.attempt));
-  router_.OnRestAsked(now_, sent.attempt, seconds(60));
+  EXPECT_FALSE(router_.OnUpstreamLeaving(sent.attempt));
+  router_.OnBackoffRequested(now_, sent.attempt, seconds(60));
   router_.OnAttemptEnded(
       now_, {.attempt = sent.attempt, .result = outcome::kAnswered}, out_);
   out_.clear();
--- a/unittests/Edge/request_flow_test.cc
+++ b/unittests/Edge/request_flow_test.cc
@@ -24,7 +24,7 @@
   void SetListener(caller_listener* /*listener*/) override {}
   void SendHead(uint32_t value,
                 const http_headers& /*headers*/,
-                const answer_framing& /*framing*/) override {
+                const response_framing& /*framing*/) override {
     status = value;
   }
   void SendBody(std::string_view data) override { sent += data; }
@@ -51,31 +51,31 @@
       const dispatch_attributes& /*attributes*/) const override {
     return {{.name = "Host", .value = "h"}};
   }
-  answer_attributes ReadAnswer(const message_head& /*head*/) const override {
+  response_attributes ReadAnswer(const message_head& /*head*/) const override {
     return answer;
   }
-  answer_attributes answer{.is_signed = true};
+  response_attributes answer{.is_signed = true};
 };
 
 class silent_owner : public flow_owner {
  public:
   void OnFlowEvent(core_event /*event*/) override {}
-  void OnFlowNotices(const request_flow& /*flow*/,
-                     const answer_notices& notices) override {
+  void OnFlowFeedback(const request_flow& /*flow*/,
+                      const upstream_feedback& notices) override {
     if (notices.limit) {
       limits.push_back(*notices.limit);
     }
   }
   void OnFlowAttemptFailed(const request_flow& /*flow*/,
-                           attempt_answer /*answer*/,
+                           attempt_result /*answer*/,
                            uint32_t /*status*/) override {
     ++failed;
   }
-  void OnFlowBroken(const endpoint& /*address*/) override {}
+  void OnConnectionLost(const endpoint& /*address*/) override {}
   bool CanPlaceElsewhere(const request_flow& /*flow*/) override {
     return can_go_elsewhere;
   }
-  void OnFlowEnd(request_flow& /*flow*/, const flow_end& end) override {
+  void OnFlowEnd(request_flow& /*flow*/, const flow_result& end) override {
     ended = true;
     last = end;
   }
@@ -83,7 +83,7 @@
   int failed = 0;
   std::vector<limit_notice> limits;
   bool ended = false;
-  flow_end last;
+  flow_result last;
 };
 
 class request_flow_test : public testing::Test {
@@ -93,7 +93,7 @@
     exchange_.head.target = "/";
     route_.kind = request_kind::kResumableStream;
     route_.target_latency = milliseconds(25);
-    route_.longest_pause = milliseconds(100);
+    route_.max_event_gap = milliseconds(100);
     route_.max_attempts = 2;
     const time_point now = ReadBootClock();
     flow_ = std::make_unique<request_flow>(
@@ -194,7 +194,7 @@
                                     .attempt = 1,
                                     .upstream = "u",
                                     .address = listener_.Address(),
-                                    .usual_first_byte = milliseconds(100)});
+                                    .mean_first_byte = milliseconds(100)});
   const auto first = listener_.Accept(base_);
   PassStallTime();
   EXPECT_EQ(owner_.failed, 0);
--- a/unittests/Fleet/leader_election_test.cc
+++ b/unittests/Fleet/leader_election_test.cc
@@ -21,11 +21,11 @@
   void Write(const conditional_write& write,
              std::function<void(store_write)> done) override {
     calls.push_back([this, write, done](bool is_lost) {
-      store_write answer{.end = store_end::kConflict};
+      store_write answer{.end = store_status::kConflict};
       if (holder_lease == 0) {
         holder_lease = write.lease;
         holder = write.value;
-        answer = {.end = store_end::kDone, .revision = ++revision};
+        answer = {.end = store_status::kDone, .revision = ++revision};
       }
       done(is_lost ? store_write{} : answer);
     });
@@ -35,7 +35,7 @@
     calls.push_back([this, time_to_live, done](bool is_lost) {
       const lease_number lease = ++last_lease;
       done(is_lost ? store_lease{}
-                   : store_lease{.end = store_end::kDone,
+                   : store_lease{.end = store_status::kDone,
                                  .lease = lease,
                                  .time_to_live = time_to_live});
     });
@@ -45,10 +45,10 @@
     calls.push_back([this, lease, done](bool is_lost) {
       const bool lives = lease == holder_lease;
       done(is_lost ? store_lease{}
-                   : store_lease{
-                         .end = lives ? store_end::kDone : store_end::kNoLease,
-                         .lease = lease,
-                         .time_to_live = milliseconds(1500)});
+                   : store_lease{.end = lives ? store_status::kDone
+                                              : store_status::kNoLease,
+                                 .lease = lease,
+                                 .time_to_live = milliseconds(1500)});
     });
   }
   void EndLease(lease_number lease) override {
@@ -78,9 +78,10 @@
 class leader_election_test : public testing::Test {
  protected:
   leader_election MakeElection(const std::string& name) {
-    return leader_election(
-        {.self_name = name, .key = "leader", .turn_gap = milliseconds(3000)},
-        store_);
+    return leader_election({.self_name = name,
+                            .key = "leader",
+                            .handover_gap = milliseconds(3000)},
+                           store_);
   }
   /// Lets \p span pass in small steps, with all answers.
   void Pass(leader_election& election, milliseconds span) {
@@ -101,9 +102,9 @@
   leader_election election = MakeElection("a");
   Pass(election, milliseconds(200));
   EXPECT_TRUE(election.IsLeading(now_));
-  EXPECT_FALSE(election.MayOrder(now_));
+  EXPECT_FALSE(election.MaySendCommand(now_));
   Pass(election, milliseconds(3100));
-  EXPECT_TRUE(election.MayOrder(now_));
+  EXPECT_TRUE(election.MaySendCommand(now_));
 }
 
 TEST_F(leader_election_test, WhileAnotherLeadsNothingIsClaimed) {
@@ -121,19 +122,20 @@
 TEST_F(leader_election_test, AfterASuspensionNothingIsSent) {
   leader_election election = MakeElection("a");
   Pass(election, milliseconds(4000));
-  ASSERT_TRUE(election.MayOrder(now_));
+  ASSERT_TRUE(election.MaySendCommand(now_));
   now_ += std::chrono::seconds(2);
-  EXPECT_FALSE(election.MayOrder(now_));
+  EXPECT_FALSE(election.MaySendCommand(now_));
   store_.Expire();
   Pass(election, milliseconds(100));
-  EXPECT_FALSE(election.MayOrder(now_)) << "a new term begins with the wait";
+  EXPECT_FALSE(election.MaySendCommand(now_))
+      << "a new term begins with the wait";
 }
 
 TEST_F(leader_election_test, WithoutRenewalTheLeadEndsBeforeTheLease) {
   leader_election election = MakeElection("a");
   Pass(election, milliseconds(4000));
   const time_point last_renewal_at_most = now_;
-  while (election.MayOrder(now_)) {
+  while (election.MaySendCommand(now_)) {
     election.OnTick(now_, store_.holder);
     store_.AnswerAll(true);
     now_ += milliseconds(10);
--- a/unittests/Fleet/peer_frame_test.cc
+++ b/unittests/Fleet/peer_frame_test.cc
@@ -19,7 +19,7 @@
   return {reinterpret_cast<const uint8_t*>(text.data()), text.size()};
 }
 
-beat_frame MakeBeat() {
+heartbeat_frame MakeBeat() {
   return {.sender = {.name = "a",
                      .incarnation = 7,
                      .peer_address = {"10.0.0.1", 1},
@@ -29,7 +29,7 @@
                      .is_ready = true,
                      .has_store = true,
                      .revision = 9},
-          .heard = {{"10.0.0.2", 1}},
+          .recent_peers = {{"10.0.0.2", 1}},
           .changing = {"u"},
           .backlogs = {{.upstream = 3, .tokens = 400}},
           .prefixes = {{.prefix = 5,
@@ -41,7 +41,7 @@
 TEST(peer_frame_test, ABeatComesBack) {
   const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(MakeBeat())));
   ASSERT_TRUE(frame);
-  const auto& beat = std::get<beat_frame>(*frame);
+  const auto& beat = std::get<heartbeat_frame>(*frame);
   EXPECT_EQ(beat.sender.name, "a");
   EXPECT_EQ(beat.sender.incarnation, 7U);
   EXPECT_EQ(beat.sender.caller_address, (endpoint{"10.0.0.1", 2}));
@@ -50,7 +50,7 @@
   EXPECT_FALSE(beat.sender.is_leaving);
   EXPECT_TRUE(beat.sender.has_store);
   EXPECT_EQ(beat.sender.revision, 9U);
-  EXPECT_EQ(beat.heard.size(), 1U);
+  EXPECT_EQ(beat.recent_peers.size(), 1U);
   EXPECT_EQ(beat.changing, std::vector<std::string>{"u"});
   EXPECT_EQ(beat.backlogs[0].tokens, 400U);
   EXPECT_EQ(beat.prefixes[0].prefix, 5U);
@@ -59,22 +59,23 @@
 }
 
 TEST(peer_frame_test, EvidenceOfTheStoreComesBack) {
-  beat_frame beat = MakeBeat();
-  beat.evidence = {.witness = 12, .age = std::chrono::milliseconds(340)};
+  heartbeat_frame beat = MakeBeat();
+  beat.freshness = {.daemon_hash = 12, .age = std::chrono::milliseconds(340)};
   const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(beat)));
   ASSERT_TRUE(frame);
-  EXPECT_EQ(std::get<beat_frame>(*frame).evidence, beat.evidence);
-  beat.sender.awaits = {
+  EXPECT_EQ(std::get<heartbeat_frame>(*frame).freshness, beat.freshness);
+  beat.sender.recovery = {
       .event = 4, .left = std::chrono::seconds(2), .revision = 8};
   const auto awaiting = DecodePeerFrame(BytesOf(EncodePeerFrame(beat)));
   ASSERT_TRUE(awaiting);
-  EXPECT_EQ(std::get<beat_frame>(*awaiting).sender.awaits, beat.sender.awaits);
-  beat.evidence->age = -std::chrono::milliseconds(1);
+  EXPECT_EQ(std::get<heartbeat_frame>(*awaiting).sender.recovery,
+            beat.sender.recovery);
+  beat.freshness->age = -std::chrono::milliseconds(1);
   EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(beat))));
-  beat.evidence.reset();
+  beat.freshness.reset();
   const auto without = DecodePeerFrame(BytesOf(EncodePeerFrame(beat)));
   ASSERT_TRUE(without);
-  EXPECT_FALSE(std::get<beat_frame>(*without).evidence);
+  EXPECT_FALSE(std::get<heartbeat_frame>(*without).freshness);
 }
 
 TEST(peer_frame_test, ItemsComeBack) {
@@ -145,44 +146,44 @@
   }
 }
 
-quota_ask MakeAsk() {
+quota_query MakeAsk() {
   return {.from = {"10.0.0.1", 1},
           .ticket = 5,
           .subject = 6,
           .limit = {.rate = 100, .burst = 200, .version = 3},
           .weight = -9.5,
           .digest = 8,
-          .patience = std::chrono::milliseconds(1'500),
+          .max_wait = std::chrono::milliseconds(1'500),
           .is_final = true,
-          .told = quota_level{
+          .last_level = quota_level{
               .owner = 2, .level = -7, .age = std::chrono::milliseconds(40)}};
 }
 
 TEST(peer_frame_test, AQuotaQuestionComesBack) {
   const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(MakeAsk())));
   ASSERT_TRUE(frame.has_value());
-  const auto& ask = std::get<quota_ask>(*frame);
+  const auto& ask = std::get<quota_query>(*frame);
   EXPECT_EQ(ask.from, MakeAsk().from);
   EXPECT_EQ(ask.ticket, 5U);
   EXPECT_EQ(ask.limit.version, 3U);
   EXPECT_EQ(ask.weight, -9.5);
-  EXPECT_EQ(ask.patience, MakeAsk().patience);
+  EXPECT_EQ(ask.max_wait, MakeAsk().max_wait);
   EXPECT_TRUE(ask.is_final);
-  ASSERT_TRUE(ask.told.has_value());
-  EXPECT_EQ(ask.told->level, -7);
-  EXPECT_EQ(ask.told->age, MakeAsk().told->age);
+  ASSERT_TRUE(ask.last_level.has_value());
+  EXPECT_EQ(ask.last_level->level, -7);
+  EXPECT_EQ(ask.last_level->age, MakeAsk().last_level->age);
 }
 
 TEST(peer_frame_test, AQuotaAnswerComesBack) {
-  const quota_verdict verdict{.ticket = 5,
-                              .is_admitted = true,
-                              .retry_after = std::chrono::milliseconds(20),
-                              .owner = 9,
-                              .level = -3,
-                              .share = 0.5};
+  const quota_reply verdict{.ticket = 5,
+                            .is_admitted = true,
+                            .retry_after = std::chrono::milliseconds(20),
+                            .owner = 9,
+                            .level = -3,
+                            .share = 0.5};
   const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(verdict)));
   ASSERT_TRUE(frame.has_value());
-  const auto& back = std::get<quota_verdict>(*frame);
+  const auto& back = std::get<quota_reply>(*frame);
   EXPECT_EQ(back.ticket, 5U);
   EXPECT_TRUE(back.is_admitted);
   EXPECT_EQ(back.retry_after, verdict.retry_after);
@@ -191,12 +192,12 @@
 }
 
 TEST(peer_frame_test, LimitsOfUpstreamsComeBack) {
-  beat_frame beat = MakeBeat();
+  heartbeat_frame beat = MakeBeat();
   beat.limits = {{.upstream = 7, .rate = 1.3, .age = std::chrono::seconds(2)},
                  {.upstream = 8, .has_ended = true}};
   const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(beat)));
   ASSERT_TRUE(frame.has_value());
-  const auto& limits = std::get<beat_frame>(*frame).limits;
+  const auto& limits = std::get<heartbeat_frame>(*frame).limits;
   ASSERT_EQ(limits.size(), 2U);
   EXPECT_EQ(limits[0].upstream, 7U);
   EXPECT_EQ(limits[0].rate, 1.3);
@@ -204,33 +205,33 @@
   EXPECT_FALSE(limits[0].has_ended);
   EXPECT_TRUE(limits[1].has_ended);
 
-  quota_ask ask = MakeAsk();
+  quota_query ask = MakeAsk();
   ask.kind = quota_kind::kUpstream;
   ask.limit_age = std::chrono::milliseconds(90);
   const auto asked = DecodePeerFrame(BytesOf(EncodePeerFrame(ask)));
-  EXPECT_EQ(std::get<quota_ask>(*asked).kind, quota_kind::kUpstream);
-  EXPECT_EQ(std::get<quota_ask>(*asked).limit_age, ask.limit_age);
+  EXPECT_EQ(std::get<quota_query>(*asked).kind, quota_kind::kUpstream);
+  EXPECT_EQ(std::get<quota_query>(*asked).limit_age, ask.limit_age);
   const auto answered = DecodePeerFrame(BytesOf(EncodePeerFrame(
-      quota_verdict{.kind = quota_kind::kUpstream, .ticket = 5})));
-  EXPECT_EQ(std::get<quota_verdict>(*answered).kind, quota_kind::kUpstream);
+      quota_reply{.kind = quota_kind::kUpstream, .ticket = 5})));
+  EXPECT_EQ(std::get<quota_reply>(*answered).kind, quota_kind::kUpstream);
 }
 
 TEST(peer_frame_test, ALimitWithoutSenseIsRefused) {
-  for (const limit_news& item :
-       {limit_news{.rate = std::nan("")}, limit_news{.rate = -1},
-        limit_news{.rate = 1, .age = duration(-1)},
-        limit_news{.rate = 1, .age = duration::max()}}) {
-    beat_frame beat = MakeBeat();
+  for (const limit_update& item :
+       {limit_update{.rate = std::nan("")}, limit_update{.rate = -1},
+        limit_update{.rate = 1, .age = duration(-1)},
+        limit_update{.rate = 1, .age = duration::max()}}) {
+    heartbeat_frame beat = MakeBeat();
     beat.limits = {item};
     EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(beat))).has_value());
   }
-  quota_ask ask = MakeAsk();
+  quota_query ask = MakeAsk();
   ask.limit_age = duration::max();
   EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(ask))).has_value());
 }
 
 TEST(peer_frame_test, NewsOfCrashingRequestsComeBack) {
-  beat_frame beat = MakeBeat();
+  heartbeat_frame beat = MakeBeat();
   const hash128 request{.high = 1, .low = 2};
   beat.quarantine = {
       .crashes = {{.request = request,
@@ -240,7 +241,7 @@
       .completions = {{.request = request, .age = std::chrono::seconds(6)}}};
   const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(beat)));
   ASSERT_TRUE(frame.has_value());
-  const quarantine_news& news = std::get<beat_frame>(*frame).quarantine;
+  const quarantine_update& news = std::get<heartbeat_frame>(*frame).quarantine;
   ASSERT_EQ(news.crashes.size(), 1U);
   EXPECT_EQ(news.crashes[0].request, request);
   EXPECT_EQ(news.crashes[0].upstream, 3U);
@@ -259,19 +260,19 @@
 
 // One number that is none would stay in an owner's bucket for good.
 TEST(peer_frame_test, AQuotaQuestionWithoutSenseIsRefused) {
-  quota_ask ask = MakeAsk();
+  quota_query ask = MakeAsk();
   ask.weight = std::nan("");
   EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(ask))).has_value());
   ask = MakeAsk();
   ask.limit.rate = -1;
   EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(ask))).has_value());
   ask = MakeAsk();
-  ask.told->level = -std::numeric_limits<double>::infinity();
+  ask.last_level->level = -std::numeric_limits<double>::infinity();
   EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(ask))).has_value());
 }
 
 /// A beat that tells of \p members.
-beat_frame TellsOf(std::vector<member_news> members) {
+heartbeat_frame TellsOf(std::vector<member_update> members) {
   const endpoint address{"10.0.0.1", 7};
   return {.sender = {.name = "a",
                      .peer_address = address,
@@ -280,27 +281,27 @@
           .members = std::move(members)};
 }
 
-std::optional<peer_frame> SendAndReceive(const beat_frame& beat) {
+std::optional<peer_frame> SendAndReceive(const heartbeat_frame& beat) {
   const std::string bytes = EncodePeerFrame(beat);
   return DecodePeerFrame(
       {reinterpret_cast<const uint8_t*>(bytes.data()), bytes.size()});
 }
 
 TEST(peer_frame_test, NewsOfMembersComeBack) {
-  const member_news lives{.record = {.name = "b",
-                                     .incarnation = 5,
-                                     .version = 3,
-                                     .peer_address = {"10.0.0.2", 7},
-                                     .caller_address = {"10.0.0.2", 8},
-                                     .failure_domain = "z",
-                                     .link_rate = 20,
-                                     .is_ready = true}};
-  const member_news silent{
+  const member_update lives{.record = {.name = "b",
+                                       .incarnation = 5,
+                                       .version = 3,
+                                       .peer_address = {"10.0.0.2", 7},
+                                       .caller_address = {"10.0.0.2", 8},
+                                       .failure_domain = "z",
+                                       .link_rate = 20,
+                                       .is_ready = true}};
+  const member_update silent{
       .record = {.name = "c", .incarnation = 6, .version = 9},
       .is_suspected = true};
   const auto frame = SendAndReceive(TellsOf({lives, silent}));
   ASSERT_TRUE(frame.has_value());
-  const auto& beat = std::get<beat_frame>(*frame);
+  const auto& beat = std::get<heartbeat_frame>(*frame);
   EXPECT_TRUE(beat.is_watched);
   ASSERT_EQ(beat.members.size(), 2U);
   EXPECT_EQ(beat.members[0].record.caller_address, lives.record.caller_address);
@@ -312,9 +313,9 @@
 
 // A peer that has gone wrong fills the lists of all others.
 TEST(peer_frame_test, NewsOfMembersWithoutSenseAreRefused) {
-  const member_news nowhere{.record = {.name = "b"}};
+  const member_update nowhere{.record = {.name = "b"}};
   EXPECT_FALSE(SendAndReceive(TellsOf({nowhere})).has_value());
-  const member_news silent{.record = {.name = "c"}, .is_suspected = true};
+  const member_update silent{.record = {.name = "c"}, .is_suspected = true};
   EXPECT_TRUE(SendAndReceive(TellsOf(std::vector(64, silent))).has_value());
   EXPECT_FALSE(SendAndReceive(TellsOf(std::vector(65, silent))).has_value());
 }
--- a/unittests/Fleet/peer_roster_test.cc
+++ b/unittests/Fleet/peer_table_test.cc
@@ -1,5 +1,5 @@
 // Who lives, and whom to tell.
-#include "cuminswitch/Fleet/peer_roster.h"
+#include "cuminswitch/Fleet/peer_table.h"
 
 #include <gtest/gtest.h>
 
@@ -17,70 +17,70 @@
   return {.address = "10.0.0." + std::to_string(number), .port = 1};
 }
 
-beat_frame BeatOf(const std::string& name, int number) {
+heartbeat_frame BeatOf(const std::string& name, int number) {
   return {.sender = {.name = name,
                      .incarnation = 1,
                      .peer_address = Address(number),
                      .caller_address = Address(number),
                      .is_ready = true},
-          .heard = {},
+          .recent_peers = {},
           .changing = {},
           .backlogs = {},
           .prefixes = {}};
 }
 
-peer_roster MakeRoster(std::vector<endpoint> seeds = {}) {
-  return peer_roster({.self_name = "self",
-                      .self_address = Address(1),
-                      .seeds = std::move(seeds)});
+peer_table MakeRoster(std::vector<endpoint> seeds = {}) {
+  return peer_table({.self_name = "self",
+                     .self_address = Address(1),
+                     .seeds = std::move(seeds)});
 }
 
 // Symptom: callers are sent to a host that is gone.
-TEST(peer_roster_test, ASilentPeerIsOutWithinASecond) {
-  peer_roster roster = MakeRoster();
-  EXPECT_TRUE(roster.OnBeat(kStart, BeatOf("a", 2)));
-  EXPECT_EQ(roster.ListLiving(kStart).size(), 1U);
-  EXPECT_EQ(roster.ListLiving(kStart + std::chrono::milliseconds(700)).size(),
+TEST(peer_table_test, ASilentPeerIsOutWithinASecond) {
+  peer_table roster = MakeRoster();
+  EXPECT_TRUE(roster.OnHeartbeat(kStart, BeatOf("a", 2)));
+  EXPECT_EQ(roster.ListAlive(kStart).size(), 1U);
+  EXPECT_EQ(roster.ListAlive(kStart + std::chrono::milliseconds(700)).size(),
             1U);
-  EXPECT_TRUE(roster.ListLiving(kStart + std::chrono::seconds(1)).empty());
+  EXPECT_TRUE(roster.ListAlive(kStart + std::chrono::seconds(1)).empty());
 }
 
-TEST(peer_roster_test, TellsNewsFromRepetition) {
-  peer_roster roster = MakeRoster();
-  EXPECT_TRUE(roster.OnBeat(kStart, BeatOf("a", 2)));
-  EXPECT_FALSE(roster.OnBeat(kStart, BeatOf("a", 2)));
-  beat_frame leaving = BeatOf("a", 2);
+TEST(peer_table_test, TellsNewsFromRepetition) {
+  peer_table roster = MakeRoster();
+  EXPECT_TRUE(roster.OnHeartbeat(kStart, BeatOf("a", 2)));
+  EXPECT_FALSE(roster.OnHeartbeat(kStart, BeatOf("a", 2)));
+  heartbeat_frame leaving = BeatOf("a", 2);
   leaving.sender.is_leaving = true;
-  EXPECT_TRUE(roster.OnBeat(kStart, leaving));
+  EXPECT_TRUE(roster.OnHeartbeat(kStart, leaving));
 }
 
 // Symptom: a restarted daemon is taken for leaving.
 // Sequence: its first start says that it leaves; the second start beats; a late
 // beat of the first start arrives.
-TEST(peer_roster_test, ABeatOfAnEarlierStartCountsNothing) {
-  peer_roster roster = MakeRoster();
-  beat_frame now = BeatOf("a", 2);
+TEST(peer_table_test, ABeatOfAnEarlierStartCountsNothing) {
+  peer_table roster = MakeRoster();
+  heartbeat_frame now = BeatOf("a", 2);
   now.sender.incarnation = 2;
-  roster.OnBeat(kStart, now);
-  beat_frame late = BeatOf("a", 2);
+  roster.OnHeartbeat(kStart, now);
+  heartbeat_frame late = BeatOf("a", 2);
   late.sender.is_leaving = true;
-  EXPECT_FALSE(roster.OnBeat(kStart, late));
-  EXPECT_FALSE(roster.ListLiving(kStart)[0].is_leaving);
+  EXPECT_FALSE(roster.OnHeartbeat(kStart, late));
+  EXPECT_FALSE(roster.ListAlive(kStart)[0].is_leaving);
 }
 
-TEST(peer_roster_test, FindsPeersThroughSeedsAndPeers) {
-  peer_roster roster = MakeRoster({Address(2)});
+TEST(peer_table_test, FindsPeersThroughSeedsAndPeers) {
+  peer_table roster = MakeRoster({Address(2)});
   EXPECT_EQ(roster.ChooseTargets(kStart), std::vector{Address(2)});
-  beat_frame beat = BeatOf("b", 2);
-  beat.heard = {Address(1), Address(3)};
-  roster.OnBeat(kStart, beat);
+  heartbeat_frame beat = BeatOf("b", 2);
+  beat.recent_peers = {Address(1), Address(3)};
+  roster.OnHeartbeat(kStart, beat);
   const std::vector<endpoint> targets = roster.ChooseTargets(kStart);
   EXPECT_EQ(std::set<endpoint>(targets.begin(), targets.end()),
             (std::set{Address(2), Address(3)}));
 }
 
-TEST(peer_roster_test, ASilentAddressIsTriedRarely) {
-  peer_roster roster = MakeRoster({Address(2)});
+TEST(peer_table_test, ASilentAddressIsTriedRarely) {
+  peer_table roster = MakeRoster({Address(2)});
   int tries = 0;
   for (int i = 0; i < 40; ++i) {
     tries += static_cast<int>(
@@ -90,12 +90,12 @@
   EXPECT_EQ(tries, 4);
 }
 
-TEST(peer_roster_test, TheCostOfARoundIsBoundedAndEverybodyIsReached) {
+TEST(peer_table_test, TheCostOfARoundIsBoundedAndEverybodyIsReached) {
   std::vector<endpoint> seeds;
   for (int i = 2; i < 102; ++i) {
     seeds.push_back(Address(i));
   }
-  peer_roster roster = MakeRoster(seeds);
+  peer_table roster = MakeRoster(seeds);
   std::set<endpoint> reached;
   for (int i = 0; i < 7; ++i) {
     const auto targets = roster.ChooseTargets(kStart);
@@ -110,7 +110,7 @@
 // Sequence: 300 daemons start; eight of them, two a failure domain, follow the
 // store; the others ask a peer that is ahead for all 3,000 upstreams.
 // Cause: all asked the one peer that knew most, wherever it was.
-TEST(peer_roster_test, QuestionsAreSpreadOverTheFollowersOfTheDomain) {
+TEST(peer_table_test, QuestionsAreSpreadOverTheFollowersOfTheDomain) {
   constexpr int kDaemons = 300;
   constexpr int kDomains = 4;
   constexpr int kFollowers = 8;
@@ -120,16 +120,16 @@
   std::map<std::string, int> asked;
   int across = 0;
   for (int self = kFollowers; self < kDaemons; ++self) {
-    peer_roster roster({.self_name = "d" + std::to_string(self),
-                        .self_address = {"10.0.0.1", 1},
-                        .self_domain = domain_of(self),
-                        .seeds = {}});
+    peer_table roster({.self_name = "d" + std::to_string(self),
+                       .self_address = {"10.0.0.1", 1},
+                       .self_domain = domain_of(self),
+                       .seeds = {}});
     for (int i = 0; i < kFollowers + 2; ++i) {
-      beat_frame beat = BeatOf("d" + std::to_string(i), i + 2);
+      heartbeat_frame beat = BeatOf("d" + std::to_string(i), i + 2);
       beat.sender.failure_domain = domain_of(i);
       beat.sender.has_store = i < kFollowers;
       beat.sender.revision = 100 + i;
-      roster.OnBeat(kStart, beat);
+      roster.OnHeartbeat(kStart, beat);
     }
     const daemon_record* ahead = roster.FindAhead(kStart, 5, 0);
     ASSERT_NE(ahead, nullptr);
@@ -145,12 +145,12 @@
 
 // Symptom: a daemon learns nothing for seconds.
 // Sequence: the peer that it asks has lost the way to it.
-TEST(peer_roster_test, AnotherPeerIsAskedNextTime) {
-  peer_roster roster = MakeRoster();
+TEST(peer_table_test, AnotherPeerIsAskedNextTime) {
+  peer_table roster = MakeRoster();
   for (const char* name : {"a", "b", "c", "d"}) {
-    beat_frame beat = BeatOf(name, 2 + (name[0] - 'a'));
+    heartbeat_frame beat = BeatOf(name, 2 + (name[0] - 'a'));
     beat.sender.revision = 5;
-    roster.OnBeat(kStart, beat);
+    roster.OnHeartbeat(kStart, beat);
   }
   std::set<std::string> asked;
   for (uint64_t turn = 0; turn < 20; ++turn) {
@@ -159,14 +159,14 @@
   EXPECT_EQ(asked.size(), 4U);
 }
 
-TEST(peer_roster_test, FindsAPeerThatKnowsMore) {
-  peer_roster roster = MakeRoster();
-  beat_frame a = BeatOf("a", 2);
+TEST(peer_table_test, FindsAPeerThatKnowsMore) {
+  peer_table roster = MakeRoster();
+  heartbeat_frame a = BeatOf("a", 2);
   a.sender.revision = 5;
-  beat_frame b = BeatOf("b", 3);
+  heartbeat_frame b = BeatOf("b", 3);
   b.sender.revision = 8;
-  roster.OnBeat(kStart, a);
-  roster.OnBeat(kStart, b);
+  roster.OnHeartbeat(kStart, a);
+  roster.OnHeartbeat(kStart, b);
   EXPECT_EQ(roster.FindAhead(kStart, 5, 0)->name, "b");
   EXPECT_EQ(roster.FindAhead(kStart, 8, 0), nullptr);
 }
--- a/unittests/Fleet/store_fleet.cc
+++ b/unittests/Fleet/store_fleet.cc
@@ -82,12 +82,13 @@
   if (now_ >= self.next_round) {
     self.next_round += kRound;
     Beat(number);
-    self.follows = self.duty.Decide(now_, {.self = living_[number],
-                                           .living = living_,
-                                           .staleness = self.staleness,
-                                           .answered_at = self.answered_at,
-                                           .failed_at = self.failed_at,
-                                           .known = daemons_.size()});
+    self.follows =
+        self.duty.ShouldFollow(now_, {.self = living_[number],
+                                      .alive = living_,
+                                      .staleness = self.staleness,
+                                      .answered_at = self.answered_at,
+                                      .failed_at = self.failed_at,
+                                      .known = daemons_.size()});
   }
 }
 
@@ -126,7 +127,7 @@
     if (to == number || self.is_cut_off || peer.is_cut_off) {
       continue;
     }
-    if (const auto evidence = self.staleness.Youngest(now_)) {
+    if (const auto evidence = self.staleness.MostRecent(now_)) {
       peer.staleness.OnPeer(now_, *evidence, self.revision > peer.revision);
     }
     // It asks, and is answered long before the next round.
--- a/unittests/Fleet/store_fleet.h
+++ b/unittests/Fleet/store_fleet.h
@@ -12,7 +12,7 @@
 
 #include "cuminswitch/Fleet/peer_frame.h"
 #include "cuminswitch/Fleet/staleness_tracker.h"
-#include "cuminswitch/Fleet/store_duty.h"
+#include "cuminswitch/Fleet/store_follower_policy.h"
 
 namespace cuminswitch {
 
@@ -40,7 +40,7 @@
  private:
   struct daemon {
     staleness_tracker staleness{0};
-    store_duty duty;
+    store_follower_policy duty;
     revision_number revision = 0;
     bool is_reached = true;
     bool is_cut_off = false;
--- a/unittests/Fleet/upstream_directory_test.cc
+++ b/unittests/Fleet/upstream_directory_test.cc
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "cuminswitch/Fleet/lapsed_upstreams.h"
+#include "cuminswitch/Fleet/store_outage_tracker.h"
 
 namespace cuminswitch {
 namespace {
@@ -20,8 +20,8 @@
 /// Of each removal.
 constexpr revision_number kRemoved = 50;
 /// The store returned just now, after the removals.
-constexpr lapse_window kReturned{.until = kNow + milliseconds(2000),
-                                 .last_removal = kRemoved};
+constexpr recovery_window kReturned{.until = kNow + milliseconds(2000),
+                                    .last_removal = kRemoved};
 
 using ids = std::vector<std::string>;
 
@@ -30,7 +30,7 @@
   /// Lists \p entries and nothing else, in any order, as the store would.
   void List(const std::vector<upstream_entry>& entries,
             time_point now = kNow,
-            const lapse_window& window = {}) {
+            const recovery_window& window = {}) {
     ids listed;
     for (const upstream_entry& entry : entries) {
       listed.push_back(entry.id);
@@ -45,7 +45,7 @@
       directory_.Take(now, News(entry), window);
     }
   }
-  static upstream_news News(const upstream_entry& entry) {
+  static upstream_entry_update News(const upstream_entry& entry) {
     return {.id = entry.id,
             .entry = std::make_shared<const upstream_entry>(entry)};
   }
@@ -108,17 +108,17 @@
   List({{.id = "a", .address = kHere}}, kNow, kReturned);
   EXPECT_EQ(InUse(), (ids{"a", "b"}));
   directory_.Expire(kNow + milliseconds(1900), kReturned);
-  EXPECT_TRUE(directory_.HasKept());
+  EXPECT_TRUE(directory_.HasRetained());
   EXPECT_EQ(InUse(), (ids{"a", "b"}));
   directory_.Expire(kNow + milliseconds(2000), kReturned);
-  EXPECT_FALSE(directory_.HasKept());
+  EXPECT_FALSE(directory_.HasRetained());
   EXPECT_EQ(InUse(), ids{"a"});
 }
 
 // Guards against requests to an upstream that left after the store's return.
 TEST_F(upstream_directory_test, WhatIsRemovedAfterTheReturnIsGone) {
-  constexpr lapse_window kBefore{.until = kReturned.until,
-                                 .last_removal = kRemoved - 1};
+  constexpr recovery_window kBefore{.until = kReturned.until,
+                                    .last_removal = kRemoved - 1};
   List({{.id = "a", .address = kHere}});
   List({}, kNow, kBefore);
   EXPECT_TRUE(InUse().empty());
@@ -139,8 +139,8 @@
 TEST_F(upstream_directory_test, WhatLapsedIsKeptAfterTheNextReturnToo) {
   List({{.id = "a", .address = kHere}});
   List({}, kNow, kReturned);
-  const lapse_window next{.until = kNow + milliseconds(7000),
-                          .last_removal = kRemoved + 10};
+  const recovery_window next{.until = kNow + milliseconds(7000),
+                             .last_removal = kRemoved + 10};
   directory_.Expire(kNow + milliseconds(5000), next);
   EXPECT_EQ(InUse(), ids{"a"});
   directory_.Expire(kNow + milliseconds(7000), next);
