--- a/unittests/Once/shard_ledger_test.cc
+++ b/unittests/Once/shard_journal_test.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Once/shard_ledger.h"
+#include "cuminswitch/Once/shard_journal.h"
 
 #include <gtest/gtest.h>
 
@@ -11,9 +11,10 @@
 constexpr uint64_t kUnixNow = 1'800'000'000;
 
 /// A ledger whose platform is this test.
-class shard_ledger_test : public testing::Test {
+class shard_journal_test : public testing::Test {
  protected:
-  shard_ledger_test() : ledger_({.shard = 0, .host = "h1", .incarnation = 1}) {}
+  shard_journal_test()
+      : ledger_({.shard = 0, .host = "h1", .incarnation = 1}) {}
 
   platform_call TakeCall() {
     for (size_t i = 0; i < out_.size(); ++i) {
@@ -33,10 +34,10 @@
     });
   }
 
-  std::optional<start_verdict> TakeVerdict() {
+  std::optional<start_result> TakeVerdict() {
     for (size_t i = 0; i < out_.size(); ++i) {
       if (auto* sent = std::get_if<send_peer>(&out_[i])) {
-        const start_verdict verdict =
+        const start_result verdict =
             std::get<start_reply>(sent->message).verdict;
         out_.erase(out_.begin() + static_cast<std::ptrdiff_t>(i));
         return verdict;
@@ -82,21 +83,21 @@
   }
 
   time_point now_{std::chrono::seconds(1)};
-  shard_ledger ledger_;
+  shard_journal ledger_;
   action_list out_;
 };
 
-TEST_F(shard_ledger_test, GrantsOnlyAfterTheJournalIsWritten) {
+TEST_F(shard_journal_test, GrantsOnlyAfterTheJournalIsWritten) {
   Own();
   Start(1, 1);
   EXPECT_EQ(TakeVerdict(), std::nullopt);
   const platform_call commit = TakeCall();
   EXPECT_EQ(DecodeShardRecord(commit.value).entries.size(), 1U);
   Answer(commit, platform_status::kOk, 2);
-  EXPECT_EQ(TakeVerdict(), start_verdict::kGranted);
+  EXPECT_EQ(TakeVerdict(), start_result::kGranted);
 }
 
-TEST_F(shard_ledger_test, StartsThatComeDuringAWriteShareTheNext) {
+TEST_F(shard_journal_test, StartsThatComeDuringAWriteShareTheNext) {
   Own();
   Start(1, 1);
   const platform_call first = TakeCall();
@@ -110,7 +111,7 @@
   EXPECT_EQ(ledger_.write_count(), 3U);
 }
 
-TEST_F(shard_ledger_test, WritesKeepToTheirBudget) {
+TEST_F(shard_journal_test, WritesKeepToTheirBudget) {
   Own();
   Start(1, 1);
   Answer(TakeCall(), platform_status::kOk, 2);
@@ -120,12 +121,12 @@
   EXPECT_TRUE(HasCall());
 }
 
-TEST_F(shard_ledger_test, OwnLateWriteIsRecognisedAfterAConflict) {
+TEST_F(shard_journal_test, OwnLateWriteIsRecognisedAfterAConflict) {
   Own();
   Start(1, 1);
   const platform_call commit = TakeCall();
   Answer(commit, platform_status::kNoAnswer);
-  EXPECT_EQ(TakeVerdict(), start_verdict::kRefused);
+  EXPECT_EQ(TakeVerdict(), start_result::kRefused);
   Advance(600);
   // The read-back sees the old record; the lost write comes through after it.
   const shard_record old{
@@ -139,10 +140,10 @@
   const platform_call again = TakeCall();
   EXPECT_EQ(again.expected, 2U);
   Answer(again, platform_status::kOk, 3);
-  EXPECT_EQ(TakeVerdict(), start_verdict::kGranted);
+  EXPECT_EQ(TakeVerdict(), start_result::kGranted);
 }
 
-TEST_F(shard_ledger_test, RecordOfAnotherOwnerDeposes) {
+TEST_F(shard_journal_test, RecordOfAnotherOwnerDeposes) {
   Own();
   Start(1, 1);
   Answer(TakeCall(), platform_status::kConflict, 5);
@@ -150,27 +151,27 @@
   const shard_record other{
       .epoch = 2, .owner_host = "h3", .owner_incarnation = 1};
   Answer(TakeCall(), platform_status::kOk, 5, EncodeShardRecord(other));
-  EXPECT_EQ(TakeVerdict(), start_verdict::kRefused);
-  EXPECT_EQ(ledger_.state(), shard_ledger::ownership::kNone);
+  EXPECT_EQ(TakeVerdict(), start_result::kRefused);
+  EXPECT_EQ(ledger_.state(), shard_journal::ownership::kNone);
 }
 
-TEST_F(shard_ledger_test, RecordThatIsNotOursIsNotServed) {
+TEST_F(shard_journal_test, RecordThatIsNotOursIsNotServed) {
   ledger_.Claim(out_);
   Answer(TakeCall(), platform_status::kOk, 5, "not a record");
-  EXPECT_EQ(ledger_.state(), shard_ledger::ownership::kNone);
+  EXPECT_EQ(ledger_.state(), shard_journal::ownership::kNone);
 }
 
 // Symptom: a key that was pruned runs again under a new owner.
 // Sequence: the owner prunes an entry; a successor whose clock is far behind
 //   is asked to start the same key.
 // Cause: the successor would find neither the entry nor an age to refuse.
-TEST_F(shard_ledger_test, PrunedKeyIsRefusedWhateverTheClockSays) {
+TEST_F(shard_journal_test, PrunedKeyIsRefusedWhateverTheClockSays) {
   Own();
   start_request old_start = MakeStart(1, 1);
   old_start.key_issued = kUnixNow - 500;
   ledger_.OnStart(now_, kUnixNow, old_start, out_);
   Answer(TakeCall(), platform_status::kOk, 2);
-  EXPECT_EQ(TakeVerdict(), start_verdict::kGranted);
+  EXPECT_EQ(TakeVerdict(), start_result::kGranted);
   now_ += std::chrono::seconds(400);
   const uint64_t later = kUnixNow + 400;
   start_request next = MakeStart(2, 2);
@@ -179,7 +180,7 @@
   const shard_record record = DecodeShardRecord(TakeCall().value);
   EXPECT_EQ(record.entries.size(), 1U);
 
-  shard_ledger successor({.shard = 0, .host = "h2", .incarnation = 1});
+  shard_journal successor({.shard = 0, .host = "h2", .incarnation = 1});
   out_.clear();
   successor.Claim(out_);
   const platform_call read = TakeCall();
@@ -194,10 +195,10 @@
       now_, kUnixNow,
       {.tag = claim.tag, .status = platform_status::kOk, .revision = 4}, out_);
   successor.OnStart(now_, kUnixNow, old_start, out_);
-  EXPECT_EQ(TakeVerdict(), start_verdict::kExpired);
+  EXPECT_EQ(TakeVerdict(), start_result::kExpired);
 }
 
-TEST_F(shard_ledger_test, LongAnswerIsNotKept) {
+TEST_F(shard_journal_test, LongAnswerIsNotKept) {
   Own();
   Start(1, 1);
   Answer(TakeCall(), platform_status::kOk, 2);
@@ -206,15 +207,15 @@
                     .result = outcome::kAnswered,
                     .answer = {200, "t", std::string(20'000, 'x')}});
   Start(1, 9);
-  EXPECT_EQ(TakeVerdict(), start_verdict::kStarted);
+  EXPECT_EQ(TakeVerdict(), start_result::kStarted);
 }
 
-TEST_F(shard_ledger_test, HandBackLeavesTheStartsToTheSuccessor) {
+TEST_F(shard_journal_test, HandBackLeavesTheStartsToTheSuccessor) {
   Own();
   Start(1, 1);
   Answer(TakeCall(), platform_status::kOk, 2);
   TakeVerdict();
-  ledger_.HandBack(kUnixNow, out_);
+  ledger_.Release(kUnixNow, out_);
   const shard_record record = DecodeShardRecord(TakeCall().value);
   EXPECT_TRUE(record.owner_host.empty());
   EXPECT_EQ(record.entries.size(), 1U);
--- a/unittests/PlatformAdapter/document_decoder_test.cc
+++ b/unittests/PlatformAdapter/document_decoder_test.cc
@@ -52,7 +52,7 @@
   }
 
   /// All that is known, put together from what the decoder told.
-  struct all_known : fleet_knowledge {
+  struct all_known : fleet_snapshot {
     std::vector<upstream_entry> upstreams;
     std::vector<std::string> unreadable_upstreams;
   };
@@ -65,9 +65,9 @@
       return nullptr;
     }
     if (decoded.knowledge != nullptr) {
-      static_cast<fleet_knowledge&>(known_) = *decoded.knowledge;
+      static_cast<fleet_snapshot&>(known_) = *decoded.knowledge;
     }
-    for (const upstream_news& news : decoded.upstreams) {
+    for (const upstream_entry_update& news : decoded.upstreams) {
       std::erase_if(known_.upstreams, [&](const upstream_entry& entry) {
         return entry.id == news.id;
       });
@@ -97,7 +97,7 @@
   Put("op/config", kConfiguration);
   const auto knowledge = Decode();
   ASSERT_NE(knowledge, nullptr);
-  const route_plan& plan = *knowledge->plan;
+  const routing_config& plan = *knowledge->plan;
   EXPECT_EQ(plan.version, 7U);
   EXPECT_EQ(plan.FindRoute("h", "/a/x")->kind, request_kind::kStream);
   EXPECT_EQ(plan.FindRoute("h", "/a/x")->shares.size(), 2U);
@@ -111,7 +111,7 @@
   ASSERT_TRUE(plan.FindService("s3")->cache_store.has_value());
   EXPECT_EQ(plan.FindService("s3")->cache_store->address,
             (endpoint{"172.20.0.2", 8781}));
-  EXPECT_TRUE(plan.FindHolder("k2")->is_isolated);
+  EXPECT_TRUE(plan.FindWorkspace("k2")->is_isolated);
   EXPECT_EQ(plan.idle_timeout, std::chrono::seconds(15));
 }
 
@@ -155,7 +155,7 @@
   Put("servers/i-1", begin + "5}");
   const decoded_items decoded =
       decoder_.Decode(view_, std::exchange(changed_, {}));
-  EXPECT_TRUE(decoded.news.empty());
+  EXPECT_TRUE(decoded.changed_keys.empty());
   EXPECT_TRUE(decoded.upstreams.empty());
   EXPECT_EQ(decoded.knowledge, nullptr);
   Put("servers/i-1",
--- a/unittests/PlatformAdapter/fleet_growth_test.cc
+++ b/unittests/PlatformAdapter/fleet_growth_test.cc
@@ -14,10 +14,10 @@
 #include <vector>
 
 #include "cuminswitch/Core/request_router.h"
-#include "cuminswitch/Edge/plan_translator.h"
-#include "cuminswitch/Edge/weights_census.h"
-#include "cuminswitch/Fleet/lapsed_upstreams.h"
-#include "cuminswitch/Fleet/peer_roster.h"
+#include "cuminswitch/Edge/routing_config_translator.h"
+#include "cuminswitch/Edge/weights_version_counter.h"
+#include "cuminswitch/Fleet/peer_table.h"
+#include "cuminswitch/Fleet/store_outage_tracker.h"
 #include "cuminswitch/Fleet/upstream_directory.h"
 #include "cuminswitch/Log/event_log.h"
 #include "cuminswitch/Protocol/shard_directory.h"
@@ -43,8 +43,8 @@
 namespace {
 
 constexpr time_point kNow{std::chrono::seconds(100)};
-constexpr lapse_window kReturned{.until = kNow + std::chrono::seconds(2),
-                                 .last_removal = 1};
+constexpr recovery_window kReturned{.until = kNow + std::chrono::seconds(2),
+                                    .last_removal = 1};
 constexpr size_t kUpstreamsPerHost = 10;
 constexpr int kRepeats = 60;
 
@@ -87,19 +87,19 @@
       lapsed_.Take(kNow, {.id = entry->id, .revision = 1}, kReturned);
     }
     for (size_t i = 0; i < hosts; ++i) {
-      roster_.OnBeat(kNow, BeatOf(i));
+      roster_.OnHeartbeat(kNow, BeatOf(i));
     }
-    roster_.TakeNews(kNow);
+    roster_.TakeChanged(kNow);
   }
 
   /// Takes in changed items, from the store's answer to the router.
   void TakeIn(std::span<const item_change> items) {
     const std::vector<std::string> keys = view_.ApplyChanges(items, revision_);
     const decoded_items decoded = decoder_.Decode(view_, keys);
-    for (const std::string& key : decoded.news) {
-      view_.MarkNews(key);
+    for (const std::string& key : decoded.changed_keys) {
+      view_.MarkForRelay(key);
     }
-    for (const upstream_news& news : decoded.upstreams) {
+    for (const upstream_entry_update& news : decoded.upstreams) {
       directory_.Take(kNow, news, {});
     }
     std::vector<upstream_update> updates;
@@ -118,14 +118,14 @@
     router_.ListBacklogs();
   }
   void Beat() {
-    roster_.OnBeat(kNow, BeatOf(3));
-    roster_.NameLiving(kNow);
+    roster_.OnHeartbeat(kNow, BeatOf(3));
+    roster_.SampleAlive(kNow);
   }
   void KeepLapsed() { lapsed_.Expire(kNow, kReturned); }
-  void TellNews() { view_.ListNewsSince(view_.news_revision() - 1); }
+  void TellNews() { view_.ListRelayedSince(view_.relay_revision() - 1); }
 
  private:
-  static beat_frame BeatOf(size_t host) {
+  static heartbeat_frame BeatOf(size_t host) {
     const endpoint address{.address = "10.9." + std::to_string(host / 250) +
                                       "." + std::to_string(host % 250),
                            .port = 70};
@@ -152,7 +152,7 @@
   upstream_directory lapsed_;
   lone_daemon members_;
   request_router router_{{}, members_};
-  peer_roster roster_{{.self_name = "self"}};
+  peer_table roster_{{.self_name = "self"}};
   revision_number revision_ = 0;
   size_t turn_ = 0;
 };
--- a/unittests/PlatformAdapter/http_protocol_test.cc
+++ b/unittests/PlatformAdapter/http_protocol_test.cc
@@ -39,7 +39,7 @@
   EXPECT_EQ(request.host, "h");
   EXPECT_EQ(request.path, "/a/b");
   EXPECT_EQ(request.credential, "secret");
-  EXPECT_EQ(request.patience, duration(std::chrono::seconds(5)));
+  EXPECT_EQ(request.max_wait, duration(std::chrono::seconds(5)));
   EXPECT_EQ(request.prompt_tokens, 1460U);
   EXPECT_EQ(request.max_output_tokens, 80U);
   ASSERT_EQ(request.parts.size(), 3U);
@@ -100,7 +100,7 @@
   head.headers = {{"X-Attempt-Id", "id1"},
                   {"X-Replica-Stamp", "s"},
                   {"X-Replica-Load", "3,2,8"}};
-  answer_attributes answer = http_protocol().ReadAnswer(head);
+  response_attributes answer = http_protocol().ReadAnswer(head);
   EXPECT_TRUE(answer.is_signed);
   EXPECT_FALSE(answer.was_not_run);
   EXPECT_EQ(answer.load->running, 3U);
@@ -124,7 +124,7 @@
     for (const std::string& value : values) {
       head.headers.push_back({"retry-after", value});
     }
-    return http_protocol().ReadAnswer(head).rest;
+    return http_protocol().ReadAnswer(head).backoff;
   };
   EXPECT_EQ(read({}).kind, notice_kind::kNone);
   for (const auto& [text, seconds] :
