--- a/include/cuminswitch/Routing/cache_planner.h
+++ b/include/cuminswitch/Routing/cache_planner.h
@@ -1,5 +1,5 @@
 /// \file
-/// Where an engine may copy cached prefixes from, and save them to.
+/// Plans where an engine copies cached prefixes from and saves them to.
 #ifndef CUMINSWITCH_ROUTING_CACHE_PLANNER_H_
 #define CUMINSWITCH_ROUTING_CACHE_PLANNER_H_
 
@@ -21,59 +21,60 @@
 class copy_budget;
 class prefix_index;
 
-/// Whether a prefix of \p tokens is worth copying and saving for an engine that
-/// computes \p prefill_rate tokens a second. A question for a prefix that is
-/// not there costs about a millisecond, so one that is computed in two is not
-/// asked for. How much the links carry is bounded by the budget of copies
-/// alone.
+/// Returns whether a prefix of \p tokens tokens is worth copying and saving for
+/// an engine with a prefill rate of \p prefill_rate tokens per second. A lookup
+/// that misses costs about 1 ms, so prefixes that take 2 ms or less to compute
+/// are not copied. The load on the links is bounded by `copy_budget` alone.
 bool IsWorthCopying(uint32_t tokens, double prefill_rate);
 
-/// Where a request's shared prefix is to come from, or why it is read again.
+/// Where a request's shared prefix comes from, or why it is computed again.
 enum class prefix_origin : uint8_t {
-  /// The request shares none.
+  /// The request has no shared prefix.
   kNone,
-  /// The engine has it.
+  /// The chosen engine has it cached.
   kLocal,
-  /// Another engine has it.
+  /// It is copied from another engine.
   kEngine,
-  /// A store has it; or may have it, though this daemon was not told.
+  /// It is copied from a cache store that holds it.
   kStore,
+  /// It is requested from a cache store that may hold it: this daemon did not
+  /// record that it was saved, but another daemon may have had it saved.
   kStoreAssumed,
-  /// It is read sooner than copied.
+  /// Computing it takes less time than copying it.
   kTooShort,
-  /// The store's links carry all that they can.
+  /// The copy budget of the store's link is used up.
   kOverBudget,
-  /// Nobody is known to have it.
+  /// No holder is known.
   kUnknown,
-  /// Who had it has started again, or takes no requests.
+  /// Its holder has restarted or accepts no requests.
   kGone,
-  /// Engines have it for other weights.
+  /// Engines hold it as computed by other weights.
   kOtherWeights,
-  /// An engine had it and will have forgotten it.
+  /// An engine held it but has probably evicted it.
   kEvicted,
 };
 inline constexpr size_t kPrefixOrigins = 11;
 
-/// Returns the name as it stands in logs and on the metrics page.
+/// Returns the name used in logs and metrics.
 std::string_view ToString(prefix_origin origin);
 
-/// What an engine is told of the cache along with a request.
+/// Cache instructions sent to an engine along with a request.
 struct cache_plan {
-  /// Copy from there what it lacks of the shared prefixes.
+  /// Where the engine copies missing shared prefixes from.
   std::optional<endpoint> source;
-  /// The source is a cache store.
+  /// Whether the source is a cache store.
   bool is_from_store = false;
-  /// Save there what it computes.
+  /// The cache store that the engine saves computed prefixes to.
   std::optional<endpoint> sink;
-  /// How likely the engine itself still has the shared prefix.
+  /// Probability that the engine itself still has the shared prefix cached.
   double hit_chance = 0;
   prefix_origin origin = prefix_origin::kNone;
 };
 
-/// One placed request, for planning.
+/// A placed request and the state that planning depends on.
 struct cache_plan_query {
   time_point now{};
-  /// The model as the router's configuration has it.
+  /// The model as configured at the router.
   const model_spec& model;
   std::span<const prefix_level> levels;
   replica_index chosen = 0;
@@ -83,8 +84,8 @@
   copy_budget& budget;
 };
 
-/// Plans the copying of the request's shared prefix, so that fewer engines read
-/// what others have read.
+/// Plans the copying and saving of the request's shared prefix, so that fewer
+/// engines compute a prefix that another engine has already computed.
 cache_plan PlanCache(const cache_plan_query& question);
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Routing/copy_budget.h
+++ b/include/cuminswitch/Routing/copy_budget.h
@@ -1,5 +1,5 @@
 /// \file
-/// Bounds what a daemon asks of the cache stores' links.
+/// Limits the copy traffic that a daemon puts on the cache stores' links.
 #ifndef CUMINSWITCH_ROUTING_COPY_BUDGET_H_
 #define CUMINSWITCH_ROUTING_COPY_BUDGET_H_
 
@@ -15,48 +15,51 @@
 
 struct cache_store_spec;
 
-/// Each daemon may use its even part of each store's link. A store carries its
-/// copies one after the other; once it is asked for more than its link carries,
-/// each request waits two seconds for its copy, holds the engine's memory all
-/// the while, and so pushes out what the engine itself had cached. A fleet that
-/// is in this state stays in it: more has to be copied again.
+/// Gives each daemon an even share of the bandwidth of each store's link, as a
+/// token bucket of prompt tokens. A store transfers copies one after the other.
+/// Once demand exceeds the link rate, each request waits 2 s for its copy and
+/// holds engine memory meanwhile, which evicts prefixes that the engine had
+/// cached. A fleet does not recover from this state by itself, since the
+/// evicted prefixes have to be copied again.
 class copy_budget {
  public:
-  /// Sets how many daemons share the stores.
+  /// Sets the number of daemons that share the stores.
   void SetFleetSize(size_t size) { fleet_size_ = std::max<size_t>(1, size); }
-  /// Takes the copying of \p tokens from or to \p store, which runs in
-  /// \p is_same_domain as the engine; false when the part is used up.
+  /// Reserves bandwidth for copying \p tokens prompt tokens from or to
+  /// \p store. \p is_same_domain says whether the store is in the failure
+  /// domain of the engine. Returns false when this daemon's share is used up.
   bool TrySpend(time_point now,
                 const cache_store_spec& store,
                 bool is_same_domain,
                 double tokens);
-  /// Whether at least half of what can be saved up is there.
+  /// Returns whether at least half of the burst capacity is available.
   bool HasPlenty(time_point now, const cache_store_spec& store);
-  /// Learns from a request whose first byte came \p excess later than expected;
-  /// \p store is where it was to copy from, if from a store.
+  /// Records a request whose first byte came \p excess later than predicted.
+  /// \p store is the store that it copied from, if any.
   void OnFirstByte(const std::optional<endpoint>& store, duration excess);
-  /// Times the link's rate that may be asked of \p store now, by all daemons
-  /// together.
+  /// Returns the copy rate that all daemons together may request from \p store
+  /// now, as a multiple of its link rate.
   double LinkShare(const endpoint& store) const;
 
  private:
-  /// Most of what is asked for is still at the engine after all, so that the
-  /// link carries a part of it only. How large a part is not known, and changes
-  /// with the load: much while engines keep their prefixes, little after many
-  /// have crashed. So it is learnt.
+  /// Engines turn out to have most of the requested prefixes cached, so that
+  /// the link carries only a share of the requested copies. That share is
+  /// unknown and changes with the load: it is small while engines keep their
+  /// prefixes and large after many have crashed. The multiple of the link rate
+  /// that may be requested is therefore adapted, starting from this value.
   static constexpr double kFirstLinkShare = 2;
 
   struct account {
     double tokens = 0;
     time_point filled_at{};
     double link_share = kFirstLinkShare;
-    /// The part of the requests that copy from it whose first byte is slow.
-    double slow = 0;
+    /// Share of the requests that copy from the store whose first byte is slow.
+    double slow_share = 0;
   };
 
   account& Fill(time_point now, const cache_store_spec& store);
 
-  /// The part of the requests that copy from no store whose first byte is slow.
+  /// Share of the requests that copy from no store whose first byte is slow.
   double others_slow_ = 0;
   size_t fleet_size_ = 1;
   std::map<endpoint, account> accounts_;
--- a/include/cuminswitch/Routing/outlier_detector.h
+++ b/include/cuminswitch/Routing/outlier_detector.h
@@ -1,5 +1,5 @@
 /// \file
-/// Finds upstreams that fail more often than their peers.
+/// Detects upstreams that fail more often than their peers.
 #ifndef CUMINSWITCH_ROUTING_OUTLIER_DETECTOR_H_
 #define CUMINSWITCH_ROUTING_OUTLIER_DETECTOR_H_
 
@@ -7,21 +7,23 @@
 
 namespace cuminswitch {
 
-/// An upstream's share of failed answers, with old answers losing weight. An
-/// upstream that answers its health check may still fail a part of its
-/// requests; only its answers show that. Some failures are the requests' own,
-/// so the share is judged against that of the other upstreams.
+/// Tracks the exponentially decayed share of an upstream's responses that
+/// failed. An upstream that passes its health check may still fail some of its
+/// requests, which only its responses show. Some failures are caused by the
+/// requests, so the share is compared with that of the other upstreams.
 class outlier_detector {
  public:
   void OnAnswer(time_point now, bool failed);
-  /// Adds this upstream's counts to \p failed and \p total.
+  /// Adds this upstream's decayed counts to \p failed and \p total.
   void AddTo(double& failed, double& total) const {
     failed += failed_;
     total += total_;
   }
-  /// Whether it fails much more often than \p others_share.
+  /// Returns whether this upstream's share of failures is much higher than
+  /// \p others_share, the share of its peers.
   bool IsOutlier(double others_share) const;
-  /// Forgets everything; after an ejection it gets a new chance.
+  /// Clears the counts, so that an ejected upstream is not ejected again at
+  /// once.
   void Reset() { *this = {}; }
 
  private:
--- a/include/cuminswitch/Routing/placement_query.h
+++ b/include/cuminswitch/Routing/placement_query.h
@@ -1,5 +1,5 @@
 /// \file
-/// One question to a placement policy, and its answer.
+/// Input and result of a placement policy.
 #ifndef CUMINSWITCH_ROUTING_PLACEMENT_QUERY_H_
 #define CUMINSWITCH_ROUTING_PLACEMENT_QUERY_H_
 
@@ -16,7 +16,7 @@
 
 class prefix_index;
 
-/// What a placement policy may look at.
+/// Input of a placement policy.
 struct placement_query {
   time_point now{};
   /// Prefixes of the request, outermost first; hashes carry the cache scope.
@@ -24,34 +24,36 @@
   uint32_t prompt_tokens = 0;
   /// Replicas that can serve the request, in ascending order; never empty.
   std::span<const replica_index> eligible;
-  /// For each of them, whether it has room now.
+  /// For each eligible replica, whether it has a free slot now.
   const std::vector<bool>& has_room;
-  /// For each of them, seconds that it costs beyond its work; may be empty.
+  /// For each eligible replica, an additional cost in seconds; may be empty for
+  /// none.
   std::span<const double> penalty_seconds = {};
-  /// For each of them, the tag of its weights; may be empty.
+  /// For each eligible replica, the tag of its weights; may be empty.
   std::span<const weights_tag> weights = {};
   const replica_table& replicas;
   prefix_index& prefixes;
-  /// Where this daemon is; a replica there is preferred among equals.
+  /// Failure domain of this daemon. Among replicas of equal cost, one in the
+  /// same domain is preferred.
   std::string_view failure_domain = {};
   /// Prompt tokens per second that one replica can copy from another, or from
   /// a store; 0 where caches cannot be copied.
   double copy_rate = 0;
-  /// What recomputing a prefix costs, as a multiple of the time it takes, when
-  /// the prefix is rarely used.
+  /// Cost of recomputing a rarely used prefix, as a multiple of the time that
+  /// it takes.
   double reuse_weight = 1;
-  /// Of the replicas, the part that is kept for short prompts; 0 for none.
+  /// Share of the replicas that is reserved for short prompts; 0 for none.
   double short_share = 0;
-  /// Whether the request is one of the long ones.
+  /// Whether the prompt is classified as long.
   bool is_long = false;
 };
 
-/// Where a request goes.
+/// Result of a placement policy.
 struct placement {
   replica_index index = 0;
-  /// The replica has no room: the request is to wait for it.
+  /// The replica has no free slot, and the request has to wait for it.
   bool must_wait = false;
-  /// Prompt tokens that the replica probably has cached.
+  /// Expected number of prompt tokens that the replica has cached.
   double expected_cached_tokens = 0;
 };
 
--- a/include/cuminswitch/Routing/prefix_cost_policy.h
+++ b/include/cuminswitch/Routing/prefix_cost_policy.h
@@ -14,24 +14,25 @@
 
 struct prefix_holder;
 
-/// Takes the replica with the least cost in seconds: its queue, plus the
-/// computation of what it does not hold, weighted by `reuse_weight`. What it
-/// holds is estimated from this daemon's own placements, and, where it has
-/// none, from rendezvous hashing: every daemon ranks the same few homes for a
-/// prefix, so others have probably placed it there. A request waits for a
-/// replica without room where that costs less than recomputing elsewhere. A
-/// hot prefix spreads as the queue at its replicas outgrows the recomputation,
-/// which weighs less the more requests share it.
+/// Chooses the replica with the lowest cost in seconds: its queue, plus the
+/// computation of the tokens that it has not cached, weighted by
+/// `reuse_weight`. Cache contents are estimated from this daemon's own
+/// placements and, without any, from rendezvous hashing: every daemon ranks the
+/// same few preferred replicas for a prefix, so other daemons have probably
+/// placed it there. A request waits for a replica without a free slot if that
+/// costs less than recomputing the prefix elsewhere. A hot prefix spreads to
+/// more replicas when the queue at its replicas exceeds the cost of
+/// recomputation, which weighs less the more requests share the prefix.
 class prefix_cost_policy : public placement_policy {
  public:
   placement Choose(const placement_query& query) override;
 
-  /// The probability that \p holder still has a prefix cached.
+  /// Returns the probability that \p holder still has its prefix cached.
   static double EstimateHit(const placement_query& query,
                             const prefix_holder& holder);
 
  private:
-  /// The replicas that rank first for a prefix, by rendezvous.
+  /// Number of preferred replicas per prefix: the first by rendezvous hashing.
   static constexpr size_t kHomes = 3;
   struct home_list {
     std::array<replica_index, kHomes> indices{};
@@ -39,24 +40,26 @@
   };
 
   static home_list RankHomes(const placement_query& query, uint64_t prefix);
-  /// Whether a replica is of those that the request's kind is kept to.
+  /// Returns whether \p index is reserved for the length class of the request's
+  /// prompt.
   static bool IsOfKind(const placement_query& query, replica_index index);
   static double RecomputeWeight(const placement_query& query);
-  /// Whether some replica or store should hold the shared prefix as computed by
-  /// \p weights.
+  /// Returns whether a replica or store should hold the shared prefix as
+  /// computed by \p weights.
   static bool IsCopyable(const placement_query& query, weights_tag weights);
-  /// Whether the eligible replica at \p place can copy the shared prefix.
+  /// Returns whether the eligible replica at \p place can copy the shared
+  /// prefix.
   bool CanCopy(const placement_query& query, size_t place);
   void CollectExpectedHits(const placement_query& query);
 
-  /// Expected cached tokens by position in `eligible`; kept between calls to
-  /// spare the allocation.
+  /// Expected cached tokens by position in `eligible`. A member, so that its
+  /// allocation is reused between calls.
   std::vector<double> expected_;
   struct copyable_weights {
     weights_tag weights = kNoWeights;
     bool can_copy = false;
   };
-  /// What is known of the present query.
+  /// Results of `IsCopyable()` for the current query.
   std::vector<copyable_weights> copyable_;
 };
 
--- a/include/cuminswitch/Routing/prompt_length_classifier.h
+++ b/include/cuminswitch/Routing/prompt_length_classifier.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which prompts are long, and how many engines are kept for the short ones.
+/// Classifies prompts by length and reserves engines for the short ones.
 #ifndef CUMINSWITCH_ROUTING_PROMPT_LENGTH_CLASSIFIER_H_
 #define CUMINSWITCH_ROUTING_PROMPT_LENGTH_CLASSIFIER_H_
 
@@ -14,38 +14,42 @@
 /// The engines that serve one target.
 struct engine_slots {
   double count = 0;
-  /// Requests that all of them together run at once.
+  /// Requests that all of these engines together run concurrently.
   double slots = 0;
 };
 
-/// Answers a mix of short and long prompts. An engine reads a prompt in pieces
-/// between the tokens of the answers that it makes, so while it has some half a
-/// second of reading every answer there pauses, however idle it is on average.
-/// Long prompts therefore go to some engines and short ones to the others.
+/// Separates short from long prompts. An engine prefills prompts in chunks
+/// between the decoding steps of its running requests. While it has about half
+/// a second of prefill queued, every response that it generates stalls, however
+/// low its average load. Long prompts are therefore sent to some engines and
+/// short prompts to the others.
 ///
-/// Size-interval task assignment with equal load: a prompt is long that is
-/// longer than the mean, and each kind has the part of the engines that its
-/// reading is of all reading. Both follow from what all daemons tell of their
-/// traffic, so they draw the same boundary without a message of their own; and
-/// whether engines are kept at all follows the most of them, so that one that
-/// has just started does as the others do.
+/// This is size-interval task assignment with equal load: prompts longer than
+/// the mean are long, and each class gets a share of the engines equal to its
+/// share of all prefill. Both follow from the traffic that all daemons report,
+/// so that daemons agree on the boundary without a message of their own.
+/// Whether engines are reserved at all follows the majority of the daemons, so
+/// that a daemon that has just started agrees with the others.
 class prompt_length_classifier {
  public:
-  /// Counts a request that arrives.
+  /// Counts an arriving request.
   void CountPrompt(time_point now, double prompt_tokens);
-  /// Counts prompt tokens that an engine is to read for a request.
+  /// Counts prompt tokens that an engine has to prefill for a request.
   void CountRead(time_point now, bool is_long, double tokens);
-  /// Counts how long an answer to a short prompt held a slot of an engine.
+  /// Counts the time for which a request with a short prompt held an engine
+  /// slot.
   void CountShortHeld(time_point now, duration held);
-  /// Takes in what a peer tells of its traffic; replaces what it told before.
+  /// Applies a peer's report of its traffic, which replaces its previous
+  /// report.
   void OnPeer(time_point now, const std::string& peer, const prompt_mix& told);
-  /// This daemon's traffic of late.
+  /// Returns this daemon's exponentially decayed recent traffic.
   prompt_mix Own(time_point now) const;
 
   bool IsLong(time_point now, double prompt_tokens) const;
-  /// The part of the engines that is kept for short prompts; 0 for none, where
-  /// there is one kind only, too little is known, or slots are what binds: then
-  /// the engines serve more if all are shared.
+  /// Returns the share of the engines that is reserved for short prompts. It is
+  /// 0 when there is only one length class, when too little traffic is known,
+  /// or when slots are the bottleneck: then throughput is higher if all engines
+  /// are shared.
   double ShortShare(time_point now, const engine_slots& engines) const;
 
  private:
@@ -64,7 +68,7 @@
   time_point first_at_{};
   std::map<std::string, told_mix> peers_;
   prompt_mix peers_sum_;
-  /// Of them, those that keep engines for short prompts.
+  /// Number of peers that reserve engines for short prompts.
   size_t peers_keeping_ = 0;
 };
 
--- a/include/cuminswitch/Routing/replica.h
+++ b/include/cuminswitch/Routing/replica.h
@@ -1,5 +1,5 @@
 /// \file
-/// What one daemon knows of one upstream.
+/// A daemon's state for one upstream.
 #ifndef CUMINSWITCH_ROUTING_REPLICA_H_
 #define CUMINSWITCH_ROUTING_REPLICA_H_
 
@@ -14,16 +14,17 @@
 
 namespace cuminswitch {
 
-/// Prompt tokens a second that a replica is taken to compute while no answer of
-/// its target has told more: a model of 70 billion weights on one accelerator.
+/// Assumed prefill rate in prompt tokens per second until a response from a
+/// replica of the same target gives an estimate: that of a model with 70
+/// billion weights on one accelerator.
 inline constexpr double kFirstPrefillRate = 8000;
 
-/// An upstream with this daemon's exact counts and its last load report.
+/// An upstream with this daemon's exact counts and the last load report.
 struct replica {
   upstream_spec spec;
   uint64_t name_hash = 0;
 
-  /// From the last report.
+  /// State from the last report.
   bool reported = false;
   bool reachable = true;
   bool leaving = false;
@@ -31,55 +32,66 @@
   uint64_t started = 0;
   std::vector<loaded_model> models;
   time_point reported_at{};
-  /// Other daemons' requests, as the last report had them: its totals less
-  /// this daemon's own at that time.
+  /// Other daemons' requests: the totals of the last report minus this daemon's
+  /// own requests at that time.
   uint32_t others_in_flight = 0;
   uint32_t others_waiting = 0;
-  /// Prompt tokens that other daemons' requests wait for, as they last told.
+  /// Prompt tokens of other daemons' requests that wait for their first byte,
+  /// as last reported by these daemons.
   double others_pending_tokens = 0;
 
-  /// Exact: this daemon's attempts, and those without a first byte yet.
+  /// This daemon's attempts in flight, and those of them without a first byte
+  /// yet; both exact.
   uint32_t in_flight = 0;
   uint32_t waiting = 0;
-  /// Prompt tokens sent whose first byte has not come, less expected hits.
+  /// Prompt tokens of this daemon's attempts without a first byte, minus the
+  /// expected cache hits.
   double pending_tokens = 0;
 
-  /// Prompt tokens that a request makes it compute, on average over answers.
+  /// Moving average of the prompt tokens that the replica computes per request.
   double computed_per_request = 500;
-  /// Prompt tokens computed per second, estimated from answers.
+  /// Prompt tokens computed per second, estimated from responses.
   double prefill_rate = kFirstPrefillRate;
-  /// Whether an answer of its own has told the rate.
+  /// Whether a response of this replica has been used to estimate the rate.
   bool is_rate_measured = false;
-  /// How long an unused prefix stays cached, estimated from answers.
+  /// Time for which an unused prefix stays cached, estimated from the cached
+  /// tokens that responses report.
   double retention_seconds = 10;
   /// Adaptive limit on this daemon's requests in flight.
   double limit = 16;
   /// When the limit was last lowered.
   time_point lowered_at{};
-  /// How long a plain request waits for its first byte, on average.
+  /// Moving average of the time to first byte of requests without a prompt, in
+  /// seconds.
   double first_byte_seconds = 0;
-  /// How long an answer takes from its first byte to its end, on average.
+  /// Moving average of the time from the first to the last byte of a response,
+  /// in seconds.
   double answer_seconds = 0.3;
-  /// Requests that wait in this daemon for room here.
+  /// Requests in this daemon that wait for a free slot at the replica.
   uint32_t queued_here = 0;
-  /// It names a limit, and this daemon's next turn comes no earlier.
+  /// The replica advertises a rate limit, and this daemon's next send slot is
+  /// not before this time.
   time_point limited_until{};
-  /// It refused a request of this daemon and wants none before this.
+  /// The replica refused a request of this daemon and asked for backoff until
+  /// this time.
   time_point backoff_until{};
-  /// One of its answers said that it leaves. The list may say so later, or not.
+  /// A response of the replica announced that it is leaving. The upstream list
+  /// may say so later or not at all.
   bool says_leaving = false;
-  /// Between two of this daemon's turns there.
+  /// Time between two of this daemon's send slots at the replica.
   duration limit_turn{0};
-  /// No attempt goes there before this.
+  /// The replica is ejected until this time and gets no attempts.
   time_point ejected_until{};
   uint32_t failures_in_row = 0;
   outlier_detector answers;
-  /// Its weights are being changed.
+  /// The replica's weights are being changed.
   bool changing = false;
-  /// When it was first seen in its present incarnation, for slow start.
+  /// When the replica was first seen in its current incarnation, for slow
+  /// start.
   time_point warm_since{};
 
-  /// By its own word it takes no request of this daemon before this.
+  /// Returns the time until which the replica accepts no request of this daemon
+  /// because of its rate limit or a backoff that it asked for.
   time_point ClosedUntil() const {
     return std::max(limited_until, backoff_until);
   }
--- a/include/cuminswitch/Routing/target_estimate.h
+++ b/include/cuminswitch/Routing/target_estimate.h
@@ -1,5 +1,5 @@
 /// \file
-/// What one daemon has learnt of all replicas of a target together.
+/// Estimates that a daemon learns over all replicas of a target.
 #ifndef CUMINSWITCH_ROUTING_TARGET_ESTIMATE_H_
 #define CUMINSWITCH_ROUTING_TARGET_ESTIMATE_H_
 
@@ -11,38 +11,40 @@
 
 namespace cuminswitch {
 
-/// Averages over the answers of a target's replicas. In a large fleet a daemon
-/// meets each replica once in a few seconds, and all of them several times a
-/// second.
+/// Moving averages over the responses of a target's replicas. In a large fleet
+/// a daemon gets a response from each single replica once in a few seconds, but
+/// from any of them several times per second.
 class target_estimate {
  public:
-  /// Sets the prompt tokens that one engine can keep; 0 for not known.
+  /// Sets the cache size of one engine in prompt tokens; 0 for unknown.
   void SetCacheTokens(double tokens) { cache_tokens_ = tokens; }
 
-  /// Learns prompt tokens computed per second.
+  /// Records a sample of the prefill rate, in prompt tokens per second.
   void LearnPrefillRate(double sample);
   double prefill_rate() const { return prefill_rate_; }
 
-  /// Learns how long a request waited for its first byte.
+  /// Records the time to first byte of a request.
   void LearnFirstByte(duration took);
-  /// How long requests wait for their first byte on average.
+  /// Returns the mean time to first byte.
   duration MeanFirstByte() const;
 
-  /// Learns that a first byte came \p excess later than expected; negative for
-  /// earlier.
+  /// Records that a first byte came \p excess later than predicted; negative
+  /// for earlier.
   void LearnPredictionError(time_point now,
                             priority_class priority,
                             duration excess);
-  /// By how much first bytes come later than expected of late. What a daemon
-  /// and its peers know of an engine's work lags, and leaves out what the
-  /// engine does beside reading prompts. An expectation that is not corrected
-  /// takes requests that will be late, and holds engines' memory with them.
+  /// Returns by how much first bytes recently came later than predicted; never
+  /// negative. The backlog that a daemon and its peers know of an engine is out
+  /// of date and leaves out work other than prefill. Without this correction,
+  /// requests would be accepted that finish late and occupy engine memory.
   duration MeanPredictionError(time_point now, priority_class priority) const;
 
-  /// Counts prompt tokens that a request of this daemon adds to a cache.
+  /// Counts prompt tokens that a request of this daemon adds to an engine's
+  /// cache.
   void CountAdded(time_point now, double tokens);
-  /// How likely an engine still has cached what it last used \p age ago, where
-  /// \p daemons like this one share \p engines.
+  /// Returns the probability that an engine still has a prefix cached that it
+  /// last used \p age ago, when \p daemons daemons with traffic like this one's
+  /// share \p engines engines.
   double HitChance(time_point now,
                    duration age,
                    size_t daemons,
@@ -51,8 +53,8 @@
  private:
   double AddedRate(time_point now) const;
 
-  /// An average that loses its weight while nothing is learnt: where all are
-  /// refused, nobody would learn that the wait is over.
+  /// A mean prediction error that decays while there are no samples. Otherwise,
+  /// once all requests are refused, no sample would show that the wait is over.
   struct learnt_excess {
     double seconds = 0;
     time_point at{};
@@ -63,7 +65,7 @@
   double prefill_rate_ = kFirstPrefillRate;
   double first_byte_seconds_ = 0;
   double cache_tokens_ = 0;
-  /// Prompt tokens per second that were added to caches, as of `added_at_`.
+  /// Prompt tokens per second added to caches, as of `added_at_`.
   double added_rate_ = 0;
   time_point added_at_{};
 };
--- a/lib/Routing/cache_planner.cc
+++ b/lib/Routing/cache_planner.cc
@@ -14,27 +14,29 @@
 
 namespace {
 
-/// Prefixes that are computed in less are not copied.
+/// Prefixes that take less time than this to compute are not copied.
 constexpr double kLeastSecondsToCopy = 0.002;
-/// A holder that used the prefix so long ago still has it for sure.
+/// Hit probability at which a holder is treated as certain to have the prefix.
 constexpr double kSureHit = 0.99;
-/// An engine that has the prefix with this chance is asked for it. A miss costs
-/// a millisecond, what is not copied is read again in a hundred.
+/// Lowest hit probability at which a copy is requested from an engine. A miss
+/// costs about 1 ms, whereas computing the prefix again takes about 100 ms.
 constexpr double kLeastChanceToAsk = 0.3;
 
-/// A prefix that is computed in less is copied from a store only while its link
-/// has plenty of room: a copy waits behind the longer ones before it, up to two
-/// seconds, for what takes the engine a few milliseconds.
+/// A prefix that takes less time than this to compute is copied from a store
+/// only while at least half of the copy budget is available. A copy waits
+/// behind longer ones for up to 2 s, while the engine computes the prefix in a
+/// few milliseconds.
 constexpr double kShortSeconds = 0.02;
 
-/// How likely the store has a prefix of whose saving this daemon was told, and
-/// one of which it was not. What is not there takes nothing of the link, and
-/// must not be taken for copied: after new weights are named nothing is saved
-/// yet, and questions in vain would use up what saving needs.
+/// Probabilities that the store has a prefix that this daemon recorded as
+/// saved, and one that it did not. A miss puts no load on the link and must not
+/// be charged to the budget as a copy: after the publication of new weights
+/// nothing is saved yet, and lookups that miss would use up the budget for
+/// saving.
 constexpr double kSavedChance = 1;
 constexpr double kUntoldChance = 0.1;
 
-/// Plans one request.
+/// Plans the copies of one request.
 class planner {
  public:
   planner(const cache_plan_query& question, const prefix_level& shared)
@@ -59,7 +61,8 @@
     plan.is_from_store =
         plan.source && store_ != nullptr && *plan.source == store_->address;
     plan.origin = OriginOf(plan, was_saved);
-    // What older weights compute is of use for seconds only.
+    // Prefixes computed by superseded weights are useful for a few seconds
+    // only.
     if (version_ == model_.version && !was_saved) {
       plan.sink = SaveToStore();
     }
@@ -67,14 +70,15 @@
   }
 
  private:
-  /// Who most likely has the prefix, and costs least to ask.
+  /// Chooses the source that most likely has the prefix at the lowest cost of a
+  /// lookup.
   std::optional<endpoint> ChooseSource(double hit_chance, bool was_saved) {
     std::optional<endpoint> source;
     if (hit_chance < kSureHit) {
       source = CopyFromHolder(kSureHit);
     }
-    // The store is asked also where the engine should have the prefix: to ask
-    // for what is there already costs nothing.
+    // The store is given as source even if the engine should have the prefix:
+    // the engine copies only what it lacks, so a hit there costs nothing.
     if (!source && was_saved) {
       source = CopyFromStore(hit_chance, kSavedChance);
     }
@@ -99,8 +103,8 @@
     return was_saved ? prefix_origin::kOverBudget : WhyNoEngine();
   }
 
-  /// Why no engine can give the prefix: the reason of the one that is nearest
-  /// to it.
+  /// Returns why no engine can provide the prefix: among the reasons of all
+  /// holders, the one that comes closest to a hit.
   prefix_origin WhyNoEngine() const {
     prefix_origin why = prefix_origin::kUnknown;
     for (const prefix_holder& holder : question_.prefixes.Find(shared_.hash)) {
@@ -122,8 +126,8 @@
     return why;
   }
 
-  /// A store in the failure domain of the prefix's home, where there is one:
-  /// that is where most of its copies go.
+  /// Returns a store in the failure domain of the prefix's preferred replica,
+  /// if there is one, since most copies of the prefix go there.
   const cache_store_spec* ChooseStore() const {
     const auto home =
         question_.replicas.PreferredReplica(model_.name, shared_.hash);
@@ -143,7 +147,8 @@
     return best;
   }
 
-  /// Whether computing the prefix is over before a busy link would bring it.
+  /// Returns whether computing the prefix takes less time than a copy over a
+  /// busy link.
   bool IsShort() const {
     return shared_.tokens <
            kShortSeconds * question_.replicas[question_.chosen].prefill_rate;
@@ -154,11 +159,12 @@
            question_.replicas[question_.chosen].spec.failure_domain;
   }
 
-  /// Asks the store, which has the prefix with \p stored_chance.
+  /// Returns the store as source if the copy budget allows it. \p stored_chance
+  /// is the probability that the store has the prefix.
   std::optional<endpoint> CopyFromStore(double hit_chance,
                                         double stored_chance) {
-    // What precedes the innermost shared part is shared by more requests, and
-    // nearly always there.
+    // The levels outside the innermost shared one are shared by more requests
+    // and are nearly always cached at the engine.
     const size_t count = question_.levels.size();
     const double outer = count >= 3 ? question_.levels[count - 3].tokens : 0;
     if (store_ != nullptr && IsShort() &&
@@ -176,8 +182,9 @@
   }
 
   std::optional<endpoint> SaveToStore() {
-    // The request's own part is saved along with the shared ones. Copies come
-    // first: what is not saved now is saved with a later request.
+    // The request's unshared tokens are saved along with the shared prefix.
+    // Copies take precedence, since a prefix that is not saved now can be saved
+    // with a later request.
     if (store_ == nullptr ||
         !question_.budget.HasPlenty(question_.now, *store_) ||
         !question_.budget.TrySpend(question_.now, *store_, IsStoreNear(),
@@ -199,8 +206,8 @@
     return holder == nullptr ? 0 : ChanceOf(*holder);
   }
 
-  /// The other engine that most likely still has the prefix, if it has it with
-  /// \p least_chance.
+  /// Returns the other engine that most likely still has the prefix, if that
+  /// probability is at least \p least_chance.
   std::optional<endpoint> CopyFromHolder(double least_chance) const {
     const prefix_holder* best = nullptr;
     double best_chance = least_chance;
--- a/lib/Routing/copy_budget.cc
+++ b/lib/Routing/copy_budget.cc
@@ -6,29 +6,31 @@
 
 namespace cuminswitch {
 
-/// A first byte that comes this much later than expected is slow. A copy waits
-/// up to two seconds for a full link; what it saves is a tenth of a second.
+/// A first byte that comes this much later than predicted is slow. On a
+/// saturated link a copy waits up to 2 s, although it saves only about 0.1 s.
 static constexpr double kSlowSeconds = 0.3;
-/// By how much more of the copies than of the other requests may be slow, as
-/// parts of each.
+/// By how much the share of slow requests among those that copy may exceed the
+/// share among all others.
 static constexpr double kSlowBorne = 0.2;
-/// What a copy does to the share while too many are slow, and while they are
-/// not: it is halved within 11 copies, two or three seconds of a daemon's
-/// traffic, and doubled again within 35.
+/// Factors applied to the link share per copy while too many copies are slow,
+/// and while they are not. The share is halved within 11 copies, which is 2 to
+/// 3 s of a daemon's traffic, and doubled again within 35.
 static constexpr double kLessFactor = 0.94;
 static constexpr double kMoreFactor = 1.02;
-/// Of what is asked for a fifth at least is not at the engine, and three times
-/// as much as expected at most.
+/// Bounds of the link share. Of the requested tokens, at least one fifth is not
+/// cached at the engine, and at most three times as many as expected.
 static constexpr double kLeastLinkShare = 0.3;
 static constexpr double kLargestLinkShare = 5;
-/// Of the parts that are slow: about ten requests, two seconds of traffic.
+/// Learning rate of the shares of slow requests: averages over about 10
+/// requests or 2 s of traffic.
 static constexpr double kSlowLearningRate = 0.1;
-/// What was not used is saved up for so long.
+/// Capacity of the token bucket, in seconds of its refill rate.
 static constexpr double kSavedSeconds = 2;
-/// How many times as long a copy from another failure domain takes the link.
+/// Cost of a copy from or to another failure domain, relative to one within the
+/// domain: it occupies the link for this many times as long.
 static constexpr double kOtherDomainFactor = 2;
 
-/// Tokens per second that are one daemon's part.
+/// Returns one daemon's share of the copy rate, in tokens per second.
 static double PartOf(const cache_store_spec& store,
                      double link_share,
                      size_t fleet_size) {
@@ -55,8 +57,8 @@
     return true;
   }
   account& item = Fill(now, store);
-  // A copy may be larger than what can be saved up, so it is made from any
-  // positive rest, and the next ones wait until it is paid.
+  // A copy may be larger than the bucket's capacity. It is allowed whenever the
+  // level is positive, and later copies wait until the debt is refilled.
   if (item.tokens <= 0) {
     return false;
   }
@@ -72,9 +74,9 @@
 
 void copy_budget::OnFirstByte(const std::optional<endpoint>& store,
                               duration excess) {
-  const double slow = ToSeconds(excess) > kSlowSeconds ? 1 : 0;
+  const double slow_sample = ToSeconds(excess) > kSlowSeconds ? 1 : 0;
   if (!store) {
-    others_slow_ += kSlowLearningRate * (slow - others_slow_);
+    others_slow_ += kSlowLearningRate * (slow_sample - others_slow_);
     return;
   }
   const auto found = accounts_.find(*store);
@@ -82,15 +84,15 @@
     return;
   }
   account& item = found->second;
-  item.slow += kSlowLearningRate * (slow - item.slow);
-  if (item.slow <= kSlowBorne) {
+  item.slow_share += kSlowLearningRate * (slow_sample - item.slow_share);
+  if (item.slow_share <= kSlowBorne) {
     item.link_share =
         std::min(item.link_share * kMoreFactor, kLargestLinkShare);
-  } else if (item.slow > others_slow_ + kSlowBorne) {
+  } else if (item.slow_share > others_slow_ + kSlowBorne) {
     item.link_share = std::max(item.link_share * kLessFactor, kLeastLinkShare);
   }
-  // Else those are as slow that copy from no store: the engines are, and
-  // nothing is known of the link.
+  // Otherwise, requests that copy from no store are as slow. Then the engines
+  // are slow, and the samples say nothing about the link.
 }
 
 double copy_budget::LinkShare(const endpoint& store) const {
--- a/lib/Routing/outlier_detector.cc
+++ b/lib/Routing/outlier_detector.cc
@@ -5,16 +5,17 @@
 
 namespace cuminswitch {
 
-/// An answer loses half of its weight in so many seconds: long enough to
-/// gather the answers that tell a bad upstream from a usual one, short enough
-/// to find one that turned bad.
+/// Half-life of a response's weight in seconds: long enough to collect the
+/// responses that distinguish an outlier from a normal upstream, short enough
+/// to detect an upstream that has become faulty.
 static constexpr double kHalfLifeSeconds = 4;
-/// Failures below this say nothing: two in a row come often at a sound
-/// upstream.
+/// Decayed number of failures below which an upstream is not an outlier: two
+/// failures in a row are common at a healthy upstream.
 static constexpr double kLeastFailures = 2.5;
-/// An outlier fails at least this much more often than the others.
+/// By how much an outlier's share of failures must exceed that of the other
+/// upstreams.
 static constexpr double kLeastExcess = 0.15;
-/// And at least this multiple of their share.
+/// Multiple of the other upstreams' share of failures that it must exceed too.
 static constexpr double kLeastRatio = 2;
 
 void outlier_detector::OnAnswer(time_point now, bool failed) {
--- a/lib/Routing/placement_policy.cc
+++ b/lib/Routing/placement_policy.cc
@@ -1,4 +1,4 @@
-// The baselines that the product's policy is measured against.
+// Baseline policies that the `prefix_cost` policy is compared with.
 #include "cuminswitch/Routing/placement_policy.h"
 
 #include <algorithm>
@@ -13,8 +13,8 @@
 namespace cuminswitch {
 namespace {
 
-/// A baseline: takes one of the replicas with room, and waits when there is
-/// none.
+/// Base class of the baselines: picks one of the replicas with a free slot, or
+/// waits for the first eligible replica when there is none.
 class baseline_policy : public placement_policy {
  public:
   placement Choose(const placement_query& query) override {
@@ -90,7 +90,7 @@
   std::mt19937_64 random_;
 };
 
-/// Rendezvous hashing on the shared prefix, without regard to load.
+/// Rendezvous hashing on the shared prefix, regardless of load.
 class prefix_hash_policy : public baseline_policy {
  protected:
   replica_index Pick(const placement_query& query,
--- a/lib/Routing/prefix_cost_policy.cc
+++ b/lib/Routing/prefix_cost_policy.cc
@@ -12,29 +12,33 @@
 
 namespace cuminswitch {
 
-/// How likely a prefix is cached at its homes when nothing is known of it.
+/// Probabilities that a prefix is cached at its preferred replicas, by rank,
+/// when this daemon has no record of it.
 static constexpr std::array<double, 3> kHomePrior = {0.9, 0.3, 0.1};
+/// Hit probability of a prefix that was used within the retention time.
 static constexpr double kFreshHit = 1;
-/// Recent uses of a prefix at which half of the weight of recomputing is gone.
+/// Recent uses of a prefix at which the part of its recomputation weight above
+/// 1 is halved.
 static constexpr double kHotUses = 60;
-/// Seconds added per request in flight: decoding slows with the batch, and
-/// among equals the least busy replica should win.
+/// Cost in seconds per request in flight: decoding slows down with the batch
+/// size, and among replicas of equal cost the least busy one should be chosen.
 static constexpr double kBatchSeconds = 0.002;
-/// What a request costs more in another failure domain: two ways of one to two
-/// milliseconds, and the price of bytes between them. It also spreads the
-/// daemons over equal replicas.
+/// Additional cost in seconds of a replica in another failure domain: a round
+/// trip with 1 to 2 ms each way, and the price of traffic between domains. It
+/// also spreads the daemons over replicas of equal cost.
 static constexpr double kOtherDomainSeconds = 0.003;
 
-/// What a request costs more at a replica that is kept for the other kind. A
-/// long prompt makes all answers there pause, so it comes only where its own
-/// have a queue of so long; a short one is itself late there, and stays away
-/// longer. While replicas are missing the queues at the others pass these, and
-/// both go everywhere.
+/// Additional cost in seconds of a replica that is reserved for the other
+/// length class: the request goes there only if the queues at the replicas of
+/// its own class are longer than this. A long prompt stalls all responses at a
+/// replica for short prompts. A short prompt is itself late at a replica for
+/// long ones, so its cost is higher. When replicas are missing, the queues
+/// exceed these costs and requests of both classes go to all replicas.
 static constexpr double kLongAwaySeconds = 0.25;
 static constexpr double kShortAwaySeconds = 0.4;
 
-/// The level whose homes a request looks for: the innermost that is shared, or
-/// its only one.
+/// Returns the level that determines the preferred replicas of a request: the
+/// innermost shared level, or the only one.
 static const prefix_level& HomeLevel(std::span<const prefix_level> levels) {
   const prefix_level* shared = FindSharedLevel(levels);
   return shared != nullptr ? *shared : levels.front();
@@ -99,8 +103,9 @@
   }
   const prefix_level& shared = HomeLevel(query.levels);
   const home_list homes = RankHomes(query, shared.hash);
-  // Only homes are believed. A copy elsewhere, made in a moment of pressure,
-  // would keep drawing requests and push other prefixes out of that cache.
+  // Hits are expected at preferred replicas only. Otherwise a copy elsewhere,
+  // made during a short overload, would keep attracting requests and evict
+  // other prefixes from that cache.
   static_assert(kHomePrior.size() == kHomes);
   std::array<double, kHomes> tokens{};
   for (size_t rank = 0; rank < homes.count; ++rank) {
@@ -125,8 +130,9 @@
 }
 
 double prefix_cost_policy::RecomputeWeight(const placement_query& query) {
-  // A copy of a prefix that is used all the time serves many requests, so its
-  // cost is shared by them; but the first one still waits for it.
+  // A cached copy of a frequently used prefix serves many requests, which share
+  // the cost of computing it. The first request still has to wait for it, so
+  // the weight is never below 1.
   const double uses =
       query.levels.empty()
           ? 0
@@ -134,7 +140,7 @@
   return 1 + (query.reuse_weight - 1) / (1 + uses / kHotUses);
 }
 
-/// The tag of \p index's weights, if that is among the eligible.
+/// Returns the tag of \p index's weights if that replica is eligible.
 static std::optional<weights_tag> FindWeights(const placement_query& query,
                                               replica_index index) {
   const auto found =
@@ -167,7 +173,8 @@
                       query.replicas[query.eligible[place]].prefill_rate)) {
     return false;
   }
-  // Few versions are in use at a time, so each is looked up once.
+  // Only a few versions are in use at a time, so the result of each is cached
+  // for the query.
   const weights_tag weights = query.weights[place];
   const auto known =
       std::find_if(copyable_.begin(), copyable_.end(),
@@ -193,13 +200,14 @@
     const replica_index index = query.eligible[i];
     const replica& item = query.replicas[index];
     const bool can_copy = CanCopy(query, i);
-    // Computed again although some replica has it, or will have it.
+    // Shared tokens that would be recomputed although some replica has them
+    // cached or will have them.
     const double missing = std::max(0.0, shared - expected_[i]);
     const double own =
         std::max(0.0, query.prompt_tokens - std::max(shared, expected_[i]));
-    // What a replica computes again, all that wait there wait for too. Without
-    // their part in the price, a busy fleet spreads each prefix over all
-    // replicas, computes it on each, and gets busier still.
+    // Recomputation delays all requests that wait at the replica. Without their
+    // delay in the cost, a busy fleet spreads each prefix over all replicas,
+    // computes it on each of them and becomes even busier.
     const double delayed =
         weight + query.replicas.EstimateWaiting(query.now, index);
     double cost = query.replicas.EstimateQueueSeconds(query.now, index) +
--- a/lib/Routing/prefix_index.cc
+++ b/lib/Routing/prefix_index.cc
@@ -6,12 +6,15 @@
 
 namespace cuminswitch {
 
-/// Holders kept per prefix; a hotter one is spread wide enough by then.
+/// Maximum number of holders stored per prefix: a prefix with this many holders
+/// is spread widely enough.
 static constexpr size_t kMaxHolders = 16;
+/// Time constant of the decay of a prefix's use count, in seconds.
 static constexpr double kUseLifetimeSeconds = 5;
-/// A saved prefix that is used is copied from the store now and then, which
-/// keeps it there; it is saved again only because a store may lose what it has.
-/// After 15 s, saving 800 contracts took half of the links of three stores.
+/// Time after which a saved prefix is saved again. A prefix in use is copied
+/// from the store from time to time, which keeps it there; it is saved again
+/// only because a store may lose data. With 15 s, saving 800 shared prefixes
+/// again took half of the link capacity of three stores.
 static constexpr duration kSavedTime = std::chrono::seconds(30);
 
 const prefix_holder* FindHolder(std::span<const prefix_holder> holders,
--- a/lib/Routing/prompt_length_classifier.cc
+++ b/lib/Routing/prompt_length_classifier.cc
@@ -5,32 +5,38 @@
 
 namespace cuminswitch {
 
-/// Traffic counts for about so long: the mix of kinds changes over the hours of
-/// a day, and a moved boundary makes engines read prefixes again.
+/// Time constant of the decay of counted traffic, in seconds. The mix of length
+/// classes changes over the hours of a day, and each move of the boundary makes
+/// engines prefill shared prefixes again.
 static constexpr double kMixSeconds = 10;
-/// What a peer told counts until it has had several turns to tell again.
+/// Time after which a peer's report expires. Peers report several times within
+/// this time.
 static constexpr duration kPeerTime = std::chrono::seconds(10);
-/// Requests that must be known, so that one large prompt does not decide.
+/// Requests that must have been counted before engines are reserved, so that a
+/// single large prompt does not decide.
 static constexpr double kLeastRequests = 100;
-/// With less for one kind, its engines would be too few to lose one.
+/// Smallest share of the engines for a length class. With a smaller share, a
+/// class would have too few engines to lose one.
 static constexpr double kLeastPart = 0.1;
-/// Engines that a kind must have, so that one that is gone leaves it most of
-/// its own.
+/// Fewest engines for a length class, so that most of them are left when one
+/// fails.
 static constexpr double kLeastEngines = 4;
-/// Requests that one engine runs at once. Engines of few slots are full by
-/// chance long before all of their kind are.
+/// Fewest slots per engine, in concurrent requests. Engines with fewer slots
+/// are often full by chance long before all engines of their class are.
 static constexpr double kLeastSlots = 32;
-/// Slots that answers to short prompts may hold for engines to be kept for
-/// them, as a share of the slots of these engines.
+/// Largest number of slots held by requests with short prompts at which engines
+/// are newly reserved, as a share of the slots of the engines to reserve.
 static constexpr double kMostHeldToBegin = 0.4;
-/// And for engines to stay kept: a fleet that falls behind holds more slots by
-/// that alone, and to move the boundary then makes it read prefixes again.
+/// The same bound while engines are already reserved. An overloaded fleet holds
+/// more slots for that reason alone, and moving the boundary then would make it
+/// prefill shared prefixes again.
 static constexpr double kMostHeldToStay = 1.5;
-/// Traffic that must be seen before engines are kept. Slots are counted when
-/// answers end, so the first second's share is too low.
+/// Seconds of traffic that must have been observed before engines are reserved.
+/// Slot time is counted when responses end, so that it is underestimated in the
+/// first second.
 static constexpr double kLeastSeconds = 3;
 
-/// What is left of a sum after \p age.
+/// Returns the share of a decaying sum that remains after \p age.
 static double RemainingShare(duration age) {
   return std::exp(-std::max(0.0, ToSeconds(age)) / kMixSeconds);
 }
--- a/lib/Routing/replica_eligibility.cc
+++ b/lib/Routing/replica_eligibility.cc
@@ -1,4 +1,4 @@
-// Which replicas may serve a request, and what each would cost.
+// Selects the replicas that may serve a request and estimates their cost.
 #include <algorithm>
 #include <cmath>
 
@@ -6,17 +6,17 @@
 
 namespace cuminswitch {
 
-/// A replica in a new incarnation starts at this share of its limit and gets
-/// the whole of it after the ramp.
+/// A replica in a new incarnation starts with this share of its limit and
+/// reaches the full limit after `kSlowStartSeconds`.
 static constexpr double kSlowStartShare = 0.25;
 static constexpr double kSlowStartSeconds = 3;
-/// A queue is estimated from what this daemon and its peers told; under load
-/// it was up to twice as long.
+/// Safety factor for estimated queues. The estimate uses the reports of this
+/// daemon and its peers; under load, real queues were up to twice as long.
 static constexpr double kQueueDoubt = 2;
-/// An answer of old weights loses value; a wait of this many seconds for a
-/// replica with the new ones is worth about as much.
+/// Cost of superseded weights in seconds: a response from old weights is worth
+/// less, about as much as waiting this long for a replica with the new ones.
 static constexpr double kOldWeightsPenalty = 0.2;
-/// A report loses half its weight in this many seconds.
+/// Half-life of the weight of a load report, in seconds.
 static constexpr double kReportHalfLife = 1.0;
 
 std::string replica_table::VersionAt(replica_index index,
@@ -41,8 +41,8 @@
 
 time_point replica_table::SupersededAt(const target_replicas& target,
                                        std::string_view version) {
-  // The time in which old weights may be used runs from the naming of the
-  // next version, however many were named since.
+  // The time for which old weights may be used starts with the publication of
+  // the next version, regardless of how many versions followed.
   const auto known = std::find_if(
       target.history.begin(), target.history.end(),
       [&](const version_start& item) { return item.version == version; });
@@ -78,8 +78,8 @@
     return std::nullopt;
   }
   const duration age = now - SupersededAt(target, model->version);
-  // What waits there already runs first; a request that would begin after the
-  // bound is better placed elsewhere, or told so.
+  // Requests that already wait at the replica run first. A request that would
+  // start after the bound is placed elsewhere or refused.
   const double queue = EstimateQueueSeconds(now, index);
   const duration begins = age + FromSeconds(kQueueDoubt * queue);
   if (!item.reported || begins >= options_.old_weights_time) {
@@ -97,7 +97,8 @@
                      });
 }
 
-/// Other daemons' waiting requests, the older the report the fewer.
+/// Returns the waiting requests of other daemons, discounted by the age of the
+/// report.
 static double OthersWaiting(time_point now, const replica& item) {
   if (item.others_waiting == 0) {
     return 0;
@@ -137,8 +138,8 @@
     if (!allowed || item.spec.leaving || item.leaving || item.says_leaving) {
       continue;
     }
-    // Until an engine has reported the configured version it gets nothing:
-    // its answer could come from older weights.
+    // An engine that has not yet reported the configured version gets no
+    // requests, since its responses could come from older weights.
     const bool has_weights =
         version.empty() ||
         (item.reported && ServesVersion(item, target, version));
@@ -156,7 +157,7 @@
     list.penalty_seconds.push_back(*penalty);
     list.weights.push_back(WeightsAt(index, target));
   }
-  // With every replica ejected, any of them is better than none.
+  // If every replica is ejected, an ejected one is better than none.
   return result.indices.empty() ? ejected : result;
 }
 
@@ -169,8 +170,9 @@
 double replica_table::EstimateQueueSeconds(time_point now,
                                            replica_index index) const {
   const replica& item = replicas_[index];
-  // An engine's own count of waiting tokens would include what it has cached,
-  // which made daemons flee from the replicas that served them best.
+  // An engine's own count of waiting tokens is not used, since it includes
+  // cached tokens. With it, daemons avoided the replicas with the most cache
+  // hits.
   const double reported = OthersWaiting(now, item) * item.computed_per_request;
   const double others =
       peer_backlogs_.empty() ? reported : item.others_pending_tokens;
@@ -180,15 +182,17 @@
 double replica_table::EstimateRoomSeconds(time_point now,
                                           replica_index index) const {
   const replica& item = replicas_[index];
-  // Room comes as fast as requests are computed or as answers end, whichever
-  // is slower. Time that requests wait in the engine is not part of it: with
-  // it a busy home looked worse the busier all were, and was passed over.
+  // Slots become free at the rate at which prompts are computed or responses
+  // end, whichever is slower. The time that requests wait in the engine is left
+  // out: with it, a busy preferred replica looked worse the busier the whole
+  // fleet was, and requests avoided it.
   const double computing = item.computed_per_request / item.prefill_rate;
   const double answering = item.answer_seconds / std::max(1.0, item.limit);
   const double room = (item.queued_here + 1) * std::max(computing, answering);
   double opens = std::max(0.0, ToSeconds(item.backoff_until - now));
   if (now < item.limited_until) {
-    // At an upstream that names a limit, room comes with this daemon's turns.
+    // At an upstream with a rate limit, requests start at this daemon's send
+    // slots.
     opens = std::max(opens, ToSeconds(item.limited_until - now) +
                                 item.queued_here * ToSeconds(item.limit_turn));
   }
--- a/lib/Routing/replica_learning.cc
+++ b/lib/Routing/replica_learning.cc
@@ -1,4 +1,5 @@
-// What is learnt of replicas from their answers: speed, limits, who fails.
+// Learns the speed, concurrency limit and failure rate of replicas from their
+// responses.
 #include <algorithm>
 
 #include "cuminswitch/Routing/replica_table.h"
@@ -8,25 +9,30 @@
 static constexpr duration kFirstEjection = std::chrono::milliseconds(500);
 static constexpr uint32_t kMaxEjectionDoublings = 4;
 static constexpr double kBusyDecrease = 0.7;
-/// How long a replica that refused gets nothing. One that changes its weights
-/// refuses for a third of a second and more, and looks idle meanwhile.
+/// How long a replica that refused a request as busy gets no requests. A
+/// replica that changes its weights refuses for a third of a second or longer
+/// and looks idle meanwhile.
 static constexpr duration kBusyPause = std::chrono::milliseconds(50);
-/// A first byte may come this much later than computing alone would take; past
-/// it the replica's own queue is too long, and requests wait better here,
-/// where they can be ordered, refused in time, or sent elsewhere.
+/// A first byte may take up to `kLateFactor` times the computation alone plus
+/// `kLateSeconds`. Beyond that, the replica's own queue is too long. Requests
+/// had better wait in the daemon, which can order them, refuse them in time or
+/// send them elsewhere.
 static constexpr double kLateFactor = 1.5;
 static constexpr double kLateSeconds = 0.3;
-/// A decrease takes the limit down in proportion to the lateness, within these.
+/// Bounds of the factor by which one decrease lowers the limit. Within them it
+/// is proportional to the lateness.
 static constexpr double kLargestDecrease = 0.5;
 static constexpr double kSmallestDecrease = 0.9;
-/// The effect of a decrease shows only after the queue's length, but a long
-/// queue must not make the adaptation slow.
+/// Bounds of the time between two decreases. The effect of a decrease shows
+/// only after the current queue has drained, but a long queue must not make the
+/// adaptation slow.
 static constexpr duration kLeastDecreasePause = std::chrono::milliseconds(250);
 static constexpr duration kLongestDecreasePause = std::chrono::seconds(1);
-/// A daemon starts with this multiple of its even part of a replica's limit:
-/// one workspace's traffic meets at a few daemons, so parts are not even.
+/// A daemon starts with this multiple of its even share of a replica's limit.
+/// The traffic of a workspace is concentrated at a few daemons, so demand is
+/// uneven.
 static constexpr double kFirstLimitFactor = 4;
-/// How long a replica that fails far more often than the others gets nothing.
+/// Ejection time of a replica that fails far more often than the others.
 static constexpr duration kOutlierEjection = std::chrono::seconds(3);
 static constexpr double kLearningRate = 0.2;
 static constexpr double kSlowestPrefillRate = 100;
@@ -81,11 +87,13 @@
 }
 
 void replica_table::RaiseLimit(replica& item) {
-  // Raised only while it is used, or an idle hour would raise it to the top.
+  // The limit is raised only while it is used up. Otherwise an idle hour would
+  // raise it to the maximum.
   if (item.in_flight + 1 < item.limit) {
     return;
   }
-  // Doubles each round until it was too high for the first time.
+  // Until the limit was too high for the first time, it doubles per round
+  // trip.
   const bool is_probing = item.lowered_at == time_point();
   const double step = is_probing ? 1 : 1 / std::max(1.0, item.limit);
   item.limit = std::min<double>(item.spec.max_in_flight, item.limit + step);
@@ -187,9 +195,9 @@
       std::clamp(tokens / seconds, kSlowestPrefillRate, kFastestPrefillRate);
   item.is_rate_measured = true;
   item.prefill_rate += kLearningRate * (sample - item.prefill_rate);
-  // In a large fleet a daemon meets each replica once in a few seconds. Were
-  // each learnt alone, those that answered first would look several times as
-  // fast as the others, and would get all the requests.
+  // In a large fleet a daemon gets a response from each replica once in a few
+  // seconds. If each rate were learnt separately, the replicas that responded
+  // first would look several times as fast as the others and get all requests.
   for (const std::string& name : item.spec.serves) {
     target_replicas& target = by_target_[name];
     target.estimate.LearnPrefillRate(sample);
--- a/lib/Routing/replica_table.cc
+++ b/lib/Routing/replica_table.cc
@@ -8,9 +8,10 @@
 
 namespace cuminswitch {
 
-/// Versions whose naming is remembered; older ones are not served any more.
+/// Number of versions whose publication time is stored; older ones are not
+/// served any more.
 static constexpr size_t kMaxVersionHistory = 16;
-/// What a peer told is forgotten when nothing follows for so long.
+/// Time after which a peer's backlog report expires.
 static constexpr duration kPeerBacklogTime = std::chrono::seconds(1);
 
 static void InsertSorted(std::vector<replica_index>& list,
@@ -139,7 +140,7 @@
   if (item.spec.serves.empty()) {
     return 0;
   }
-  // An engine's last target is the model.
+  // The last target that an engine serves is the model.
   const auto found = by_target_.find(item.spec.serves.back());
   if (found == by_target_.end() || found->second.ranked.empty()) {
     return 0;
@@ -177,15 +178,16 @@
   item.leaving = report.leaving;
   item.models = report.models;
   for (loaded_model& model : item.models) {
-    // Never the tag that stands for none.
+    // The lowest bit is set, so that the tag never equals `kNoWeights`.
     model.tag = static_cast<weights_tag>(Hash64(model.version)) | 1U;
   }
   NoteLoad(now - report.age, item, report.running, report.waiting);
 }
 
 void replica_table::ForgetStart(replica& item) {
-  // A process that has just started fails for no reason of its past, and runs
-  // nothing for anybody. What its machine can do (its speed) is as before.
+  // The failures of the previous process say nothing about a new one, and a new
+  // process runs no requests yet. The speed of its machine is unchanged, so the
+  // prefill rate stays.
   item.others_in_flight = 0;
   item.others_waiting = 0;
   item.failures_in_row = 0;
--- a/lib/Routing/target_estimate.cc
+++ b/lib/Routing/target_estimate.cc
@@ -6,20 +6,23 @@
 namespace cuminswitch {
 
 static constexpr double kLearningRate = 0.2;
-/// Of first bytes: an average over about twenty answers, two seconds of a
-/// daemon's traffic.
+/// Learning rate of the time to first byte: an average over about 20 responses
+/// or 2 s of a daemon's traffic.
 static constexpr double kFirstByteLearningRate = 0.05;
-/// Of waits beyond those expected: about ten answers, two seconds of a daemon's
-/// traffic, so that one slow engine does not count as a slow fleet.
+/// Learning rate of the prediction error: an average over about 10 responses or
+/// 2 s of a daemon's traffic, so that a single slow engine does not count as a
+/// slow fleet.
 static constexpr double kExcessLearningRate = 0.1;
-/// Over which an excess is forgotten while nothing is learnt; engines work off
-/// a queue in about that time.
+/// Time constant in seconds with which a prediction error decays while there
+/// are no samples. Engines work off a queue in about this time.
 static constexpr double kExcessSeconds = 2;
-/// Of an engine's memory, what running requests leave to cached prefixes.
+/// Share of an engine's cache memory that running requests leave to cached
+/// prefixes.
 static constexpr double kCacheShare = 0.5;
-/// The time over which the tokens added to caches are averaged.
+/// Time constant, in seconds, of the average of the tokens added to caches.
 static constexpr double kAddedSeconds = 3;
-/// How long an engine keeps an unused prefix where its memory is not known.
+/// Seconds for which an engine is assumed to keep an unused prefix when its
+/// cache size is unknown.
 static constexpr double kUnknownRetentionSeconds = 10;
 static constexpr double kLeastRetentionSeconds = 0.1;
 
@@ -72,17 +75,19 @@
                                   duration age,
                                   size_t daemons,
                                   size_t engines) const {
-  // The least recently used goes first, so what was used within the time in
-  // which the memory is filled anew is still there.
+  // Engines evict the least recently used prefix first. A prefix is still
+  // cached if it was used within the time in which new tokens fill the cache
+  // once.
   const double rate = AddedRate(now) * static_cast<double>(daemons) /
                       static_cast<double>(std::max<size_t>(1, engines));
   const double retention =
       cache_tokens_ == 0 ? kUnknownRetentionSeconds
                          : kCacheShare * cache_tokens_ / std::max(1.0, rate);
-  const double excess = ToSeconds(age) - retention;
-  return excess <= 0
+  const double past_retention = ToSeconds(age) - retention;
+  return past_retention <= 0
              ? 1
-             : std::exp(-excess / std::max(kLeastRetentionSeconds, retention));
+             : std::exp(-past_retention /
+                        std::max(kLeastRetentionSeconds, retention));
 }
 
 }  // namespace cuminswitch
