--- a/include/cuminswitch/Routing/cache_planner.h
+++ b/include/cuminswitch/Routing/cache_planner.h
@@ -86,7 +86,7 @@
 
 /// Plans the copying and saving of the request's shared prefix, so that fewer
 /// engines compute a prefix that another engine has already computed.
-cache_plan PlanCache(const cache_plan_query& question);
+cache_plan PlanCache(const cache_plan_query& query);
 
 }  // namespace cuminswitch
 
--- a/include/cuminswitch/Routing/copy_budget.h
+++ b/include/cuminswitch/Routing/copy_budget.h
@@ -33,10 +33,11 @@
                 bool is_same_domain,
                 double tokens);
   /// Returns whether at least half of the burst capacity is available.
-  bool HasPlenty(time_point now, const cache_store_spec& store);
-  /// Records a request whose first byte came \p excess later than predicted.
-  /// \p store is the store that it copied from, if any.
-  void OnFirstByte(const std::optional<endpoint>& store, duration excess);
+  bool IsHalfFull(time_point now, const cache_store_spec& store);
+  /// Records a request whose first byte came \p prediction_error later than
+  /// predicted. \p store is the store that it copied from, if any.
+  void OnFirstByte(const std::optional<endpoint>& store,
+                   duration prediction_error);
   /// Returns the copy rate that all daemons together may request from \p store
   /// now, as a multiple of its link rate.
   double LinkShare(const endpoint& store) const;
@@ -47,20 +48,20 @@
   /// unknown and changes with the load: it is small while engines keep their
   /// prefixes and large after many have crashed. The multiple of the link rate
   /// that may be requested is therefore adapted, starting from this value.
-  static constexpr double kFirstLinkShare = 2;
+  static constexpr double kInitialLinkShare = 2;
 
   struct account {
     double tokens = 0;
-    time_point filled_at{};
-    double link_share = kFirstLinkShare;
+    time_point refilled_at{};
+    double link_share = kInitialLinkShare;
     /// Share of the requests that copy from the store whose first byte is slow.
     double slow_share = 0;
   };
 
-  account& Fill(time_point now, const cache_store_spec& store);
+  account& Refill(time_point now, const cache_store_spec& store);
 
   /// Share of the requests that copy from no store whose first byte is slow.
-  double others_slow_ = 0;
+  double non_copying_slow_share_ = 0;
   size_t fleet_size_ = 1;
   std::map<endpoint, account> accounts_;
 };
--- a/include/cuminswitch/Routing/outlier_detector.h
+++ b/include/cuminswitch/Routing/outlier_detector.h
@@ -13,9 +13,9 @@
 /// requests, so the share is compared with that of the other upstreams.
 class outlier_detector {
  public:
-  void OnAnswer(time_point now, bool failed);
+  void OnResponse(time_point now, bool failed);
   /// Adds this upstream's decayed counts to \p failed and \p total.
-  void AddTo(double& failed, double& total) const {
+  void AddCountsTo(double& failed, double& total) const {
     failed += failed_;
     total += total_;
   }
--- a/include/cuminswitch/Routing/prefix_cost_policy.h
+++ b/include/cuminswitch/Routing/prefix_cost_policy.h
@@ -33,28 +33,30 @@
 
  private:
   /// Number of preferred replicas per prefix: the first by rendezvous hashing.
-  static constexpr size_t kHomes = 3;
-  struct home_list {
-    std::array<replica_index, kHomes> indices{};
+  static constexpr size_t kPreferredCount = 3;
+  struct preferred_list {
+    std::array<replica_index, kPreferredCount> indices{};
     size_t count = 0;
   };
 
-  static home_list RankHomes(const placement_query& query, uint64_t prefix);
+  static preferred_list RankPreferred(const placement_query& query,
+                                      uint64_t prefix);
   /// Returns whether \p index is reserved for the length class of the request's
   /// prompt.
-  static bool IsOfKind(const placement_query& query, replica_index index);
+  static bool MatchesLengthClass(const placement_query& query,
+                                 replica_index index);
   static double RecomputeWeight(const placement_query& query);
   /// Returns whether a replica or store should hold the shared prefix as
   /// computed by \p weights.
   static bool IsCopyable(const placement_query& query, weights_tag weights);
-  /// Returns whether the eligible replica at \p place can copy the shared
+  /// Returns whether the eligible replica at \p position can copy the shared
   /// prefix.
-  bool CanCopy(const placement_query& query, size_t place);
+  bool CanCopy(const placement_query& query, size_t position);
   void CollectExpectedHits(const placement_query& query);
 
   /// Expected cached tokens by position in `eligible`. A member, so that its
   /// allocation is reused between calls.
-  std::vector<double> expected_;
+  std::vector<double> expected_cached_;
   struct copyable_weights {
     weights_tag weights = kNoWeights;
     bool can_copy = false;
--- a/include/cuminswitch/Routing/prompt_length_classifier.h
+++ b/include/cuminswitch/Routing/prompt_length_classifier.h
@@ -41,7 +41,9 @@
   void CountShortHeld(time_point now, duration held);
   /// Applies a peer's report of its traffic, which replaces its previous
   /// report.
-  void OnPeer(time_point now, const std::string& peer, const prompt_mix& told);
+  void OnPeer(time_point now,
+              const std::string& peer,
+              const prompt_mix& report);
   /// Returns this daemon's exponentially decayed recent traffic.
   prompt_mix Own(time_point now) const;
 
@@ -53,23 +55,23 @@
   double ShortShare(time_point now, const engine_slots& engines) const;
 
  private:
-  struct told_mix {
+  struct peer_report {
     prompt_mix mix;
     time_point at{};
   };
 
-  prompt_mix Sum(time_point now) const;
+  prompt_mix FleetMix(time_point now) const;
   void Decay(time_point now);
   static void Add(const prompt_mix& mix, prompt_mix& sum);
 
-  prompt_mix own_;
-  time_point own_at_{};
+  prompt_mix local_;
+  time_point local_at_{};
   /// When the first request was counted.
-  time_point first_at_{};
-  std::map<std::string, told_mix> peers_;
+  time_point first_counted_at_{};
+  std::map<std::string, peer_report> peers_;
   prompt_mix peers_sum_;
   /// Number of peers that reserve engines for short prompts.
-  size_t peers_keeping_ = 0;
+  size_t peers_reserving_ = 0;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Routing/replica.h
+++ b/include/cuminswitch/Routing/replica.h
@@ -17,7 +17,7 @@
 /// Assumed prefill rate in prompt tokens per second until a response from a
 /// replica of the same target gives an estimate: that of a model with 70
 /// billion weights on one accelerator.
-inline constexpr double kFirstPrefillRate = 8000;
+inline constexpr double kInitialPrefillRate = 8000;
 
 /// An upstream with this daemon's exact counts and the last load report.
 struct replica {
@@ -51,7 +51,7 @@
   /// Moving average of the prompt tokens that the replica computes per request.
   double computed_per_request = 500;
   /// Prompt tokens computed per second, estimated from responses.
-  double prefill_rate = kFirstPrefillRate;
+  double prefill_rate = kInitialPrefillRate;
   /// Whether a response of this replica has been used to estimate the rate.
   bool is_rate_measured = false;
   /// Time for which an unused prefix stays cached, estimated from the cached
@@ -60,15 +60,15 @@
   /// Adaptive limit on this daemon's requests in flight.
   double limit = 16;
   /// When the limit was last lowered.
-  time_point lowered_at{};
+  time_point limit_lowered_at{};
   /// Moving average of the time to first byte of requests without a prompt, in
   /// seconds.
   double first_byte_seconds = 0;
   /// Moving average of the time from the first to the last byte of a response,
   /// in seconds.
-  double answer_seconds = 0.3;
+  double response_seconds = 0.3;
   /// Requests in this daemon that wait for a free slot at the replica.
-  uint32_t queued_here = 0;
+  uint32_t queued_locally = 0;
   /// The replica advertises a rate limit, and this daemon's next send slot is
   /// not before this time.
   time_point limited_until{};
@@ -79,20 +79,20 @@
   /// may say so later or not at all.
   bool says_leaving = false;
   /// Time between two of this daemon's send slots at the replica.
-  duration limit_turn{0};
+  duration send_interval{0};
   /// The replica is ejected until this time and gets no attempts.
   time_point ejected_until{};
   uint32_t failures_in_row = 0;
-  outlier_detector answers;
+  outlier_detector responses;
   /// The replica's weights are being changed.
   bool changing = false;
   /// When the replica was first seen in its current incarnation, for slow
   /// start.
-  time_point warm_since{};
+  time_point slow_start_since{};
 
   /// Returns the time until which the replica accepts no request of this daemon
   /// because of its rate limit or a backoff that it asked for.
-  time_point ClosedUntil() const {
+  time_point UnavailableUntil() const {
     return std::max(limited_until, backoff_until);
   }
 };
--- a/include/cuminswitch/Routing/replica_table.h
+++ b/include/cuminswitch/Routing/replica_table.h
@@ -76,12 +76,12 @@
   /// Called when the first byte of an attempt arrives.
   void OnFirstByte(replica_index index, double expected_tokens);
   /// Adapts the replica's concurrency limit to \p took, the time to first byte
-  /// of a request whose computation alone should have taken \p computing
+  /// of a request whose computation alone should have taken \p compute_seconds
   /// seconds.
   void AdaptLimit(time_point now,
                   replica_index index,
                   duration took,
-                  double computing);
+                  double compute_seconds);
   /// Called when an attempt got a response. \p failed says whether the request
   /// failed at the upstream.
   void OnAnswered(time_point now, replica_index index, bool failed);
@@ -90,7 +90,7 @@
   void OnLoad(time_point now, const upstream_load& load);
   /// Applies a peer's report of the prompt tokens that its requests wait for.
   /// It replaces the peer's previous report.
-  void OnPeerPlacements(time_point now, const peer_placements& told);
+  void OnPeerPlacements(time_point now, const peer_placements& report);
   /// Drops the reports of peers that have sent none recently.
   void ExpirePeerBacklogs(time_point now);
   /// Returns the age of the oldest peer report that is still in use; 0 if there
@@ -126,12 +126,12 @@
   void LearnTargetFirstByte(std::string_view target, duration took);
   /// Returns the mean time to first byte of requests to \p target.
   duration MeanFirstByte(std::string_view target) const;
-  /// Records that a first byte from \p target came \p excess later than
-  /// predicted.
+  /// Records that a first byte from \p target came \p prediction_error later
+  /// than predicted.
   void LearnPredictionError(time_point now,
                             std::string_view target,
                             priority_class priority,
-                            duration excess);
+                            duration prediction_error);
   /// Returns by how much requests to \p target recently waited longer than
   /// predicted.
   duration MeanPredictionError(time_point now,
@@ -218,14 +218,14 @@
   void JoinTargets(replica_index index);
   void LeaveTargets(replica_index index);
   bool IsConfigured(replica_index index) const;
-  double FirstLimit(const upstream_spec& spec) const;
+  double InitialLimit(const upstream_spec& spec) const;
   /// Resets the state that belongs to the previous process of the upstream.
-  static void ForgetStart(replica& item);
+  static void ResetProcessState(replica& item);
   /// Records the upstream's own request counts as of \p at.
-  static void NoteLoad(time_point at,
-                       replica& item,
-                       uint32_t running,
-                       uint32_t waiting);
+  static void RecordLoad(time_point at,
+                         replica& item,
+                         uint32_t running,
+                         uint32_t waiting);
   static void RaiseLimit(replica& item);
   static bool HasRoom(time_point now, const replica& item);
   static bool ServesVersion(const replica& item,
@@ -246,14 +246,14 @@
   std::optional<replica_index> Find(std::string_view name) const;
   void EjectOutlier(time_point now, replica_index index);
 
-  struct told_backlogs {
+  struct peer_backlog_report {
     time_point at{};
     std::vector<upstream_backlog> backlogs;
   };
 
   options options_;
   size_t fleet_size_ = 1;
-  std::map<std::string, told_backlogs> peer_backlogs_;
+  std::map<std::string, peer_backlog_report> peer_backlogs_;
   std::unordered_map<uint64_t, replica_index> by_hash_;
   /// A deque, which does not over-allocate and moves no elements when it
   /// grows.
--- a/include/cuminswitch/Routing/target_estimate.h
+++ b/include/cuminswitch/Routing/target_estimate.h
@@ -28,11 +28,11 @@
   /// Returns the mean time to first byte.
   duration MeanFirstByte() const;
 
-  /// Records that a first byte came \p excess later than predicted; negative
-  /// for earlier.
+  /// Records that a first byte came \p prediction_error later than predicted;
+  /// negative for earlier.
   void LearnPredictionError(time_point now,
                             priority_class priority,
-                            duration excess);
+                            duration prediction_error);
   /// Returns by how much first bytes recently came later than predicted; never
   /// negative. The backlog that a daemon and its peers know of an engine is out
   /// of date and leaves out work other than prefill. Without this correction,
@@ -55,14 +55,14 @@
 
   /// A mean prediction error that decays while there are no samples. Otherwise,
   /// once all requests are refused, no sample would show that the wait is over.
-  struct learnt_excess {
+  struct mean_error {
     double seconds = 0;
     time_point at{};
   };
-  static double ExcessAt(time_point now, const learnt_excess& excess);
+  static double DecayedError(time_point now, const mean_error& error);
 
-  std::array<learnt_excess, kPriorityClasses> excesses_;
-  double prefill_rate_ = kFirstPrefillRate;
+  std::array<mean_error, kPriorityClasses> errors_;
+  double prefill_rate_ = kInitialPrefillRate;
   double first_byte_seconds_ = 0;
   double cache_tokens_ = 0;
   /// Prompt tokens per second added to caches, as of `added_at_`.
--- a/lib/Routing/prefix_cost_policy.cc
+++ b/lib/Routing/prefix_cost_policy.cc
@@ -14,19 +14,19 @@
 
 /// Probabilities that a prefix is cached at its preferred replicas, by rank,
 /// when this daemon has no record of it.
-static constexpr std::array<double, 3> kHomePrior = {0.9, 0.3, 0.1};
+static constexpr std::array<double, 3> kPreferredHitPrior = {0.9, 0.3, 0.1};
 /// Hit probability of a prefix that was used within the retention time.
-static constexpr double kFreshHit = 1;
+static constexpr double kRecentHitChance = 1;
 /// Recent uses of a prefix at which the part of its recomputation weight above
 /// 1 is halved.
-static constexpr double kHotUses = 60;
+static constexpr double kHotPrefixUses = 60;
 /// Cost in seconds per request in flight: decoding slows down with the batch
 /// size, and among replicas of equal cost the least busy one should be chosen.
-static constexpr double kBatchSeconds = 0.002;
+static constexpr double kBatchSlowdownSeconds = 0.002;
 /// Additional cost in seconds of a replica in another failure domain: a round
 /// trip with 1 to 2 ms each way, and the price of traffic between domains. It
 /// also spreads the daemons over replicas of equal cost.
-static constexpr double kOtherDomainSeconds = 0.003;
+static constexpr double kCrossDomainPenaltySeconds = 0.003;
 
 /// Additional cost in seconds of a replica that is reserved for the other
 /// length class: the request goes there only if the queues at the replicas of
@@ -34,12 +34,12 @@
 /// replica for short prompts. A short prompt is itself late at a replica for
 /// long ones, so its cost is higher. When replicas are missing, the queues
 /// exceed these costs and requests of both classes go to all replicas.
-static constexpr double kLongAwaySeconds = 0.25;
-static constexpr double kShortAwaySeconds = 0.4;
+static constexpr double kLongMismatchPenaltySeconds = 0.25;
+static constexpr double kShortMismatchPenaltySeconds = 0.4;
 
 /// Returns the level that determines the preferred replicas of a request: the
 /// innermost shared level, or the only one.
-static const prefix_level& HomeLevel(std::span<const prefix_level> levels) {
+static const prefix_level& AffinityLevel(std::span<const prefix_level> levels) {
   const prefix_level* shared = FindSharedLevel(levels);
   return shared != nullptr ? *shared : levels.front();
 }
@@ -53,13 +53,13 @@
   const double age = std::max(0.0, ToSeconds(query.now - holder.used_at));
   const double retention = std::max(0.1, item.retention_seconds);
   if (age <= retention) {
-    return kFreshHit;
+    return kRecentHitChance;
   }
-  return kFreshHit * std::exp(-(age - retention) / retention);
+  return kRecentHitChance * std::exp(-(age - retention) / retention);
 }
 
-bool prefix_cost_policy::IsOfKind(const placement_query& query,
-                                  replica_index index) {
+bool prefix_cost_policy::MatchesLengthClass(const placement_query& query,
+                                            replica_index index) {
   if (query.short_share == 0 || query.prompt_tokens == 0) {
     return true;
   }
@@ -67,64 +67,64 @@
   return is_for_short != query.is_long;
 }
 
-prefix_cost_policy::home_list prefix_cost_policy::RankHomes(
+prefix_cost_policy::preferred_list prefix_cost_policy::RankPreferred(
     const placement_query& query,
     uint64_t prefix) {
-  home_list homes;
-  std::array<uint64_t, kHomes> weights{};
-  const bool has_kind =
-      std::any_of(query.eligible.begin(), query.eligible.end(),
-                  [&](replica_index index) { return IsOfKind(query, index); });
+  preferred_list ranked;
+  std::array<uint64_t, kPreferredCount> weights{};
+  const bool has_class_match = std::any_of(
+      query.eligible.begin(), query.eligible.end(),
+      [&](replica_index index) { return MatchesLengthClass(query, index); });
   for (const replica_index index : query.eligible) {
-    if (has_kind && !IsOfKind(query, index)) {
+    if (has_class_match && !MatchesLengthClass(query, index)) {
       continue;
     }
     uint64_t weight = RendezvousWeight(prefix, query.replicas[index].name_hash);
     replica_index candidate = index;
-    for (size_t rank = 0; rank < kHomes; ++rank) {
-      if (rank < homes.count && weight <= weights[rank]) {
+    for (size_t rank = 0; rank < kPreferredCount; ++rank) {
+      if (rank < ranked.count && weight <= weights[rank]) {
         continue;
       }
       std::swap(weight, weights[rank]);
-      std::swap(candidate, homes.indices[rank]);
-      if (rank == homes.count) {
-        ++homes.count;
+      std::swap(candidate, ranked.indices[rank]);
+      if (rank == ranked.count) {
+        ++ranked.count;
         break;
       }
     }
   }
-  return homes;
+  return ranked;
 }
 
 void prefix_cost_policy::CollectExpectedHits(const placement_query& query) {
-  expected_.assign(query.eligible.size(), 0);
+  expected_cached_.assign(query.eligible.size(), 0);
   if (query.levels.empty()) {
     return;
   }
-  const prefix_level& shared = HomeLevel(query.levels);
-  const home_list homes = RankHomes(query, shared.hash);
+  const prefix_level& shared = AffinityLevel(query.levels);
+  const preferred_list ranked = RankPreferred(query, shared.hash);
   // Hits are expected at preferred replicas only. Otherwise a copy elsewhere,
   // made during a short overload, would keep attracting requests and evict
   // other prefixes from that cache.
-  static_assert(kHomePrior.size() == kHomes);
-  std::array<double, kHomes> tokens{};
-  for (size_t rank = 0; rank < homes.count; ++rank) {
-    tokens[rank] = kHomePrior[rank] * shared.tokens;
+  static_assert(kPreferredHitPrior.size() == kPreferredCount);
+  std::array<double, kPreferredCount> tokens{};
+  for (size_t rank = 0; rank < ranked.count; ++rank) {
+    tokens[rank] = kPreferredHitPrior[rank] * shared.tokens;
   }
   for (const prefix_level& level : query.levels) {
     for (const prefix_holder& holder : query.prefixes.Find(level.hash)) {
-      for (size_t rank = 0; rank < homes.count; ++rank) {
-        if (holder.index == homes.indices[rank]) {
+      for (size_t rank = 0; rank < ranked.count; ++rank) {
+        if (holder.index == ranked.indices[rank]) {
           tokens[rank] =
               std::max(tokens[rank], EstimateHit(query, holder) * level.tokens);
         }
       }
     }
   }
-  for (size_t rank = 0; rank < homes.count; ++rank) {
+  for (size_t rank = 0; rank < ranked.count; ++rank) {
     const auto found = std::lower_bound(
-        query.eligible.begin(), query.eligible.end(), homes.indices[rank]);
-    expected_[static_cast<size_t>(found - query.eligible.begin())] =
+        query.eligible.begin(), query.eligible.end(), ranked.indices[rank]);
+    expected_cached_[static_cast<size_t>(found - query.eligible.begin())] =
         tokens[rank];
   }
 }
@@ -133,11 +133,11 @@
   // A cached copy of a frequently used prefix serves many requests, which share
   // the cost of computing it. The first request still has to wait for it, so
   // the weight is never below 1.
-  const double uses =
-      query.levels.empty()
-          ? 0
-          : query.prefixes.RecentUses(query.now, HomeLevel(query.levels).hash);
-  return 1 + (query.reuse_weight - 1) / (1 + uses / kHotUses);
+  const double uses = query.levels.empty()
+                          ? 0
+                          : query.prefixes.RecentUses(
+                                query.now, AffinityLevel(query.levels).hash);
+  return 1 + (query.reuse_weight - 1) / (1 + uses / kHotPrefixUses);
 }
 
 /// Returns the tag of \p index's weights if that replica is eligible.
@@ -154,7 +154,7 @@
 
 bool prefix_cost_policy::IsCopyable(const placement_query& query,
                                     weights_tag weights) {
-  const prefix_level& shared = HomeLevel(query.levels);
+  const prefix_level& shared = AffinityLevel(query.levels);
   if (query.prefixes.WasSaved(query.now, shared.hash, weights)) {
     return true;
   }
@@ -167,15 +167,16 @@
       });
 }
 
-bool prefix_cost_policy::CanCopy(const placement_query& query, size_t place) {
+bool prefix_cost_policy::CanCopy(const placement_query& query,
+                                 size_t position) {
   if (query.copy_rate == 0 || query.levels.empty() || query.weights.empty() ||
-      !IsWorthCopying(HomeLevel(query.levels).tokens,
-                      query.replicas[query.eligible[place]].prefill_rate)) {
+      !IsWorthCopying(AffinityLevel(query.levels).tokens,
+                      query.replicas[query.eligible[position]].prefill_rate)) {
     return false;
   }
   // Only a few versions are in use at a time, so the result of each is cached
   // for the query.
-  const weights_tag weights = query.weights[place];
+  const weights_tag weights = query.weights[position];
   const auto known =
       std::find_if(copyable_.begin(), copyable_.end(),
                    [&](const auto& item) { return item.weights == weights; });
@@ -193,7 +194,7 @@
   const double weight = RecomputeWeight(query);
   copyable_.clear();
   const double shared =
-      query.levels.empty() ? 0 : HomeLevel(query.levels).tokens;
+      query.levels.empty() ? 0 : AffinityLevel(query.levels).tokens;
   placement best;
   double best_cost = std::numeric_limits<double>::infinity();
   for (size_t i = 0; i < query.eligible.size(); ++i) {
@@ -202,25 +203,26 @@
     const bool can_copy = CanCopy(query, i);
     // Shared tokens that would be recomputed although some replica has them
     // cached or will have them.
-    const double missing = std::max(0.0, shared - expected_[i]);
-    const double own =
-        std::max(0.0, query.prompt_tokens - std::max(shared, expected_[i]));
+    const double missing = std::max(0.0, shared - expected_cached_[i]);
+    const double unshared = std::max(
+        0.0, query.prompt_tokens - std::max(shared, expected_cached_[i]));
     // Recomputation delays all requests that wait at the replica. Without their
     // delay in the cost, a busy fleet spreads each prefix over all replicas,
     // computes it on each of them and becomes even busier.
-    const double delayed =
+    const double recompute_factor =
         weight + query.replicas.EstimateWaiting(query.now, index);
     double cost = query.replicas.EstimateQueueSeconds(query.now, index) +
-                  own / item.prefill_rate +
+                  unshared / item.prefill_rate +
                   (can_copy ? missing / query.copy_rate
-                            : delayed * missing / item.prefill_rate) +
-                  kBatchSeconds * item.in_flight;
+                            : recompute_factor * missing / item.prefill_rate) +
+                  kBatchSlowdownSeconds * item.in_flight;
     if (!query.failure_domain.empty() &&
         item.spec.failure_domain != query.failure_domain) {
-      cost += kOtherDomainSeconds;
+      cost += kCrossDomainPenaltySeconds;
     }
-    if (!IsOfKind(query, index)) {
-      cost += query.is_long ? kLongAwaySeconds : kShortAwaySeconds;
+    if (!MatchesLengthClass(query, index)) {
+      cost += query.is_long ? kLongMismatchPenaltySeconds
+                            : kShortMismatchPenaltySeconds;
     }
     if (query.prompt_tokens == 0) {
       cost += item.first_byte_seconds * (1 + item.in_flight);
@@ -233,9 +235,10 @@
     }
     if (cost < best_cost) {
       best_cost = cost;
-      best = {.index = index,
-              .must_wait = !query.has_room[i],
-              .expected_cached_tokens = can_copy ? shared : expected_[i]};
+      best = {
+          .index = index,
+          .must_wait = !query.has_room[i],
+          .expected_cached_tokens = can_copy ? shared : expected_cached_[i]};
     }
   }
   return best;
--- a/lib/Routing/prefix_index.cc
+++ b/lib/Routing/prefix_index.cc
@@ -10,12 +10,12 @@
 /// is spread widely enough.
 static constexpr size_t kMaxHolders = 16;
 /// Time constant of the decay of a prefix's use count, in seconds.
-static constexpr double kUseLifetimeSeconds = 5;
+static constexpr double kUseDecaySeconds = 5;
 /// Time after which a saved prefix is saved again. A prefix in use is copied
 /// from the store from time to time, which keeps it there; it is saved again
 /// only because a store may lose data. With 15 s, saving 800 shared prefixes
 /// again took half of the link capacity of three stores.
-static constexpr duration kSavedTime = std::chrono::seconds(30);
+static constexpr duration kSavedLifetime = std::chrono::seconds(30);
 
 const prefix_holder* FindHolder(std::span<const prefix_holder> holders,
                                 replica_index index,
@@ -91,7 +91,7 @@
     return 0;
   }
   const double age = std::max(0.0, ToSeconds(now - found->counted_at));
-  return found->uses * std::exp(-age / kUseLifetimeSeconds);
+  return found->uses * std::exp(-age / kUseDecaySeconds);
 }
 
 void prefix_index::NoteSaved(time_point now,
@@ -107,7 +107,8 @@
                             weights_tag weights) {
   const entry* found = Promote(hash);
   return found != nullptr && found->saved_at != time_point() &&
-         found->saved_weights == weights && now - found->saved_at < kSavedTime;
+         found->saved_weights == weights &&
+         now - found->saved_at < kSavedLifetime;
 }
 
 void prefix_index::CountUse(time_point now, uint64_t hash) {
--- a/lib/Routing/replica_eligibility.cc
+++ b/lib/Routing/replica_eligibility.cc
@@ -12,12 +12,12 @@
 static constexpr double kSlowStartSeconds = 3;
 /// Safety factor for estimated queues. The estimate uses the reports of this
 /// daemon and its peers; under load, real queues were up to twice as long.
-static constexpr double kQueueDoubt = 2;
+static constexpr double kQueueUncertaintyFactor = 2;
 /// Cost of superseded weights in seconds: a response from old weights is worth
 /// less, about as much as waiting this long for a replica with the new ones.
-static constexpr double kOldWeightsPenalty = 0.2;
+static constexpr double kOldWeightsPenaltySeconds = 0.2;
 /// Half-life of the weight of a load report, in seconds.
-static constexpr double kReportHalfLife = 1.0;
+static constexpr double kReportHalfLifeSeconds = 1.0;
 
 std::string replica_table::VersionAt(replica_index index,
                                      std::string_view target) const {
@@ -81,11 +81,11 @@
   // Requests that already wait at the replica run first. A request that would
   // start after the bound is placed elsewhere or refused.
   const double queue = EstimateQueueSeconds(now, index);
-  const duration begins = age + FromSeconds(kQueueDoubt * queue);
+  const duration begins = age + FromSeconds(kQueueUncertaintyFactor * queue);
   if (!item.reported || begins >= options_.old_weights_time) {
     return std::nullopt;
   }
-  return age < options_.old_weights_grace ? 0 : kOldWeightsPenalty;
+  return age < options_.old_weights_grace ? 0 : kOldWeightsPenaltySeconds;
 }
 
 bool replica_table::ServesVersion(const replica& item,
@@ -104,14 +104,14 @@
     return 0;
   }
   const double age = std::max(0.0, ToSeconds(now - item.reported_at));
-  return item.others_waiting * std::exp2(-age / kReportHalfLife);
+  return item.others_waiting * std::exp2(-age / kReportHalfLifeSeconds);
 }
 
 bool replica_table::HasRoom(time_point now, const replica& item) {
-  if (now < item.ClosedUntil()) {
+  if (now < item.UnavailableUntil()) {
     return false;
   }
-  const double age = ToSeconds(now - item.warm_since);
+  const double age = ToSeconds(now - item.slow_start_since);
   const double ramp = std::min(
       1.0, kSlowStartShare + (1 - kSlowStartShare) * age / kSlowStartSeconds);
   return item.in_flight + 1 <= std::max(1.0, item.limit * ramp);
@@ -164,7 +164,7 @@
 double replica_table::EstimateWaiting(time_point now,
                                       replica_index index) const {
   const replica& item = replicas_[index];
-  return item.waiting + item.queued_here + OthersWaiting(now, item);
+  return item.waiting + item.queued_locally + OthersWaiting(now, item);
 }
 
 double replica_table::EstimateQueueSeconds(time_point now,
@@ -186,17 +186,20 @@
   // end, whichever is slower. The time that requests wait in the engine is left
   // out: with it, a busy preferred replica looked worse the busier the whole
   // fleet was, and requests avoided it.
-  const double computing = item.computed_per_request / item.prefill_rate;
-  const double answering = item.answer_seconds / std::max(1.0, item.limit);
-  const double room = (item.queued_here + 1) * std::max(computing, answering);
-  double opens = std::max(0.0, ToSeconds(item.backoff_until - now));
+  const double compute_seconds = item.computed_per_request / item.prefill_rate;
+  const double seconds_per_response =
+      item.response_seconds / std::max(1.0, item.limit);
+  const double room = (item.queued_locally + 1) *
+                      std::max(compute_seconds, seconds_per_response);
+  double opens_in = std::max(0.0, ToSeconds(item.backoff_until - now));
   if (now < item.limited_until) {
     // At an upstream with a rate limit, requests start at this daemon's send
     // slots.
-    opens = std::max(opens, ToSeconds(item.limited_until - now) +
-                                item.queued_here * ToSeconds(item.limit_turn));
+    opens_in = std::max(
+        opens_in, ToSeconds(item.limited_until - now) +
+                      item.queued_locally * ToSeconds(item.send_interval));
   }
-  return std::max(room, opens);
+  return std::max(room, opens_in);
 }
 
 }  // namespace cuminswitch
--- a/lib/Routing/replica_learning.cc
+++ b/lib/Routing/replica_learning.cc
@@ -6,44 +6,44 @@
 
 namespace cuminswitch {
 
-static constexpr duration kFirstEjection = std::chrono::milliseconds(500);
+static constexpr duration kInitialEjection = std::chrono::milliseconds(500);
 static constexpr uint32_t kMaxEjectionDoublings = 4;
-static constexpr double kBusyDecrease = 0.7;
+static constexpr double kBusyLimitFactor = 0.7;
 /// How long a replica that refused a request as busy gets no requests. A
 /// replica that changes its weights refuses for a third of a second or longer
 /// and looks idle meanwhile.
-static constexpr duration kBusyPause = std::chrono::milliseconds(50);
-/// A first byte may take up to `kLateFactor` times the computation alone plus
-/// `kLateSeconds`. Beyond that, the replica's own queue is too long. Requests
-/// had better wait in the daemon, which can order them, refuse them in time or
-/// send them elsewhere.
-static constexpr double kLateFactor = 1.5;
-static constexpr double kLateSeconds = 0.3;
+static constexpr duration kBusyEjection = std::chrono::milliseconds(50);
+/// A first byte may take up to `kLatenessFactor` times the computation alone
+/// plus `kLatenessMarginSeconds`. Beyond that, the replica's own queue is too
+/// long. Requests had better wait in the daemon, which can order them, refuse
+/// them in time or send them elsewhere.
+static constexpr double kLatenessFactor = 1.5;
+static constexpr double kLatenessMarginSeconds = 0.3;
 /// Bounds of the factor by which one decrease lowers the limit. Within them it
 /// is proportional to the lateness.
-static constexpr double kLargestDecrease = 0.5;
-static constexpr double kSmallestDecrease = 0.9;
+static constexpr double kMinDecreaseFactor = 0.5;
+static constexpr double kMaxDecreaseFactor = 0.9;
 /// Bounds of the time between two decreases. The effect of a decrease shows
 /// only after the current queue has drained, but a long queue must not make the
 /// adaptation slow.
-static constexpr duration kLeastDecreasePause = std::chrono::milliseconds(250);
-static constexpr duration kLongestDecreasePause = std::chrono::seconds(1);
+static constexpr duration kMinDecreaseInterval = std::chrono::milliseconds(250);
+static constexpr duration kMaxDecreaseInterval = std::chrono::seconds(1);
 /// A daemon starts with this multiple of its even share of a replica's limit.
 /// The traffic of a workspace is concentrated at a few daemons, so demand is
 /// uneven.
-static constexpr double kFirstLimitFactor = 4;
+static constexpr double kInitialLimitFactor = 4;
 /// Ejection time of a replica that fails far more often than the others.
 static constexpr duration kOutlierEjection = std::chrono::seconds(3);
 static constexpr double kLearningRate = 0.2;
-static constexpr double kSlowestPrefillRate = 100;
-static constexpr double kFastestPrefillRate = 1e7;
+static constexpr double kMinPrefillRate = 100;
+static constexpr double kMaxPrefillRate = 1e7;
 
 void replica_table::OnAnswered(time_point now,
                                replica_index index,
                                bool failed) {
   replica& item = replicas_[index];
   item.failures_in_row = 0;
-  item.answers.OnAnswer(now, failed);
+  item.responses.OnResponse(now, failed);
   if (failed) {
     EjectOutlier(now, index);
   }
@@ -55,12 +55,12 @@
   double total = 0;
   for (const replica_index other : configured_) {
     if (other != index && replicas_[other].spec.serves == item.spec.serves) {
-      replicas_[other].answers.AddTo(failed, total);
+      replicas_[other].responses.AddCountsTo(failed, total);
     }
   }
   const double others_share = total > 0 ? failed / total : 0;
-  if (item.answers.IsOutlier(others_share)) {
-    item.answers.Reset();
+  if (item.responses.IsOutlier(others_share)) {
+    item.responses.Reset();
     item.ejected_until = now + kOutlierEjection;
   }
 }
@@ -68,21 +68,22 @@
 void replica_table::AdaptLimit(time_point now,
                                replica_index index,
                                duration took,
-                               double computing) {
+                               double compute_seconds) {
   replica& item = replicas_[index];
-  const double expected = kLateFactor * computing + kLateSeconds;
+  const double expected =
+      kLatenessFactor * compute_seconds + kLatenessMarginSeconds;
   const double seconds = ToSeconds(took);
   if (seconds <= expected) {
     RaiseLimit(item);
     return;
   }
-  const duration pause =
-      std::clamp(took, kLeastDecreasePause, kLongestDecreasePause);
-  if (now - item.lowered_at >= pause) {
-    item.lowered_at = now;
+  const duration interval =
+      std::clamp(took, kMinDecreaseInterval, kMaxDecreaseInterval);
+  if (now - item.limit_lowered_at >= interval) {
+    item.limit_lowered_at = now;
     item.limit = std::max(
-        1.0, item.limit * std::clamp(expected / seconds, kLargestDecrease,
-                                     kSmallestDecrease));
+        1.0, item.limit * std::clamp(expected / seconds, kMinDecreaseFactor,
+                                     kMaxDecreaseFactor));
   }
 }
 
@@ -94,21 +95,21 @@
   }
   // Until the limit was too high for the first time, it doubles per round
   // trip.
-  const bool is_probing = item.lowered_at == time_point();
+  const bool is_probing = item.limit_lowered_at == time_point();
   const double step = is_probing ? 1 : 1 / std::max(1.0, item.limit);
   item.limit = std::min<double>(item.spec.max_in_flight, item.limit + step);
 }
 
-double replica_table::FirstLimit(const upstream_spec& spec) const {
-  const double part =
-      kFirstLimitFactor * spec.max_in_flight / static_cast<double>(fleet_size_);
-  return std::clamp<double>(part, 1, spec.max_in_flight);
+double replica_table::InitialLimit(const upstream_spec& spec) const {
+  const double initial = kInitialLimitFactor * spec.max_in_flight /
+                         static_cast<double>(fleet_size_);
+  return std::clamp<double>(initial, 1, spec.max_in_flight);
 }
 
 void replica_table::OnBusy(time_point now, replica_index index) {
   replica& item = replicas_[index];
-  item.limit = std::max(1.0, item.limit * kBusyDecrease);
-  item.ejected_until = std::max(item.ejected_until, now + kBusyPause);
+  item.limit = std::max(1.0, item.limit * kBusyLimitFactor);
+  item.ejected_until = std::max(item.ejected_until, now + kBusyEjection);
 }
 
 void replica_table::OnFailure(time_point now, replica_index index) {
@@ -116,7 +117,7 @@
   const uint32_t doublings =
       std::min(item.failures_in_row, kMaxEjectionDoublings);
   ++item.failures_in_row;
-  item.ejected_until = now + kFirstEjection * (1 << doublings);
+  item.ejected_until = now + kInitialEjection * (1 << doublings);
 }
 
 void replica_table::LearnComputed(replica_index index, double tokens) {
@@ -127,8 +128,8 @@
 
 void replica_table::LearnAnswerTime(replica_index index, duration took) {
   replica& item = replicas_[index];
-  item.answer_seconds +=
-      kLearningRate * (ToSeconds(took) - item.answer_seconds);
+  item.response_seconds +=
+      kLearningRate * (ToSeconds(took) - item.response_seconds);
 }
 
 void replica_table::LearnFirstByte(replica_index index, duration took) {
@@ -153,9 +154,10 @@
 void replica_table::LearnPredictionError(time_point now,
                                          std::string_view target,
                                          priority_class priority,
-                                         duration excess) {
+                                         duration prediction_error) {
   if (const auto found = by_target_.find(target); found != by_target_.end()) {
-    found->second.estimate.LearnPredictionError(now, priority, excess);
+    found->second.estimate.LearnPredictionError(now, priority,
+                                                prediction_error);
   }
 }
 
@@ -192,7 +194,7 @@
   replica& item = replicas_[index];
   const double seconds = std::max(1e-4, ToSeconds(took));
   const double sample =
-      std::clamp(tokens / seconds, kSlowestPrefillRate, kFastestPrefillRate);
+      std::clamp(tokens / seconds, kMinPrefillRate, kMaxPrefillRate);
   item.is_rate_measured = true;
   item.prefill_rate += kLearningRate * (sample - item.prefill_rate);
   // In a large fleet a daemon gets a response from each replica once in a few
--- a/lib/Routing/replica_table.cc
+++ b/lib/Routing/replica_table.cc
@@ -12,20 +12,20 @@
 /// served any more.
 static constexpr size_t kMaxVersionHistory = 16;
 /// Time after which a peer's backlog report expires.
-static constexpr duration kPeerBacklogTime = std::chrono::seconds(1);
+static constexpr duration kPeerBacklogLifetime = std::chrono::seconds(1);
 
 static void InsertSorted(std::vector<replica_index>& list,
                          replica_index index) {
-  const auto place = std::lower_bound(list.begin(), list.end(), index);
-  if (place == list.end() || *place != index) {
-    list.insert(place, index);
+  const auto position = std::lower_bound(list.begin(), list.end(), index);
+  if (position == list.end() || *position != index) {
+    list.insert(position, index);
   }
 }
 
 static void EraseSorted(std::vector<replica_index>& list, replica_index index) {
-  const auto place = std::lower_bound(list.begin(), list.end(), index);
-  if (place != list.end() && *place == index) {
-    list.erase(place);
+  const auto position = std::lower_bound(list.begin(), list.end(), index);
+  if (position != list.end() && *position == index) {
+    list.erase(position);
   }
 }
 
@@ -84,8 +84,8 @@
   const replica_index index = found->second;
   if (is_new) {
     replicas_.push_back(
-        {.spec = spec, .name_hash = name_hash, .warm_since = now});
-    replicas_.back().limit = FirstLimit(spec);
+        {.spec = spec, .name_hash = name_hash, .slow_start_since = now});
+    replicas_.back().limit = InitialLimit(spec);
   }
   replica& item = replicas_[index];
   item.limit = std::min<double>(item.limit, spec.max_in_flight);
@@ -146,12 +146,12 @@
     return 0;
   }
   const std::vector<replica_index>& ranked = found->second.ranked;
-  const auto place =
+  const auto position =
       std::lower_bound(ranked.begin(), ranked.end(), index,
                        [this](replica_index a, replica_index b) {
                          return replicas_[a].name_hash < replicas_[b].name_hash;
                        });
-  return (static_cast<double>(place - ranked.begin()) + 0.5) /
+  return (static_cast<double>(position - ranked.begin()) + 0.5) /
          static_cast<double>(ranked.size());
 }
 
@@ -166,11 +166,11 @@
     return;
   }
   if (item.reported && item.incarnation != report.incarnation) {
-    item.warm_since = now;
-    item.limit = FirstLimit(item.spec);
+    item.slow_start_since = now;
+    item.limit = InitialLimit(item.spec);
   }
   if (item.reported && item.started != report.started) {
-    ForgetStart(item);
+    ResetProcessState(item);
   }
   item.reported = true;
   item.incarnation = report.incarnation;
@@ -181,10 +181,10 @@
     // The lowest bit is set, so that the tag never equals `kNoWeights`.
     model.tag = static_cast<weights_tag>(Hash64(model.version)) | 1U;
   }
-  NoteLoad(now - report.age, item, report.running, report.waiting);
+  RecordLoad(now - report.age, item, report.running, report.waiting);
 }
 
-void replica_table::ForgetStart(replica& item) {
+void replica_table::ResetProcessState(replica& item) {
   // The failures of the previous process say nothing about a new one, and a new
   // process runs no requests yet. The speed of its machine is unchanged, so the
   // prefill rate stays.
@@ -194,13 +194,13 @@
   item.ejected_until = {};
   item.backoff_until = {};
   item.says_leaving = false;
-  item.answers.Reset();
+  item.responses.Reset();
 }
 
-void replica_table::NoteLoad(time_point at,
-                             replica& item,
-                             uint32_t running,
-                             uint32_t waiting) {
+void replica_table::RecordLoad(time_point at,
+                               replica& item,
+                               uint32_t running,
+                               uint32_t waiting) {
   item.reported_at = at;
   const uint32_t total = running + waiting;
   item.others_in_flight = total > item.in_flight ? total - item.in_flight : 0;
@@ -223,7 +223,7 @@
 
 void replica_table::OnLoad(time_point now, const upstream_load& load) {
   if (const std::optional<replica_index> index = Find(load.upstream)) {
-    NoteLoad(now, replicas_[*index], load.running, load.waiting);
+    RecordLoad(now, replicas_[*index], load.running, load.waiting);
   }
 }
 
@@ -239,16 +239,16 @@
 }
 
 void replica_table::OnPeerPlacements(time_point now,
-                                     const peer_placements& told) {
-  told_backlogs& known = peer_backlogs_[told.peer];
+                                     const peer_placements& report) {
+  peer_backlog_report& known = peer_backlogs_[report.peer];
   AddPeerBacklogs(known.backlogs, -1);
-  known = {.at = now, .backlogs = told.backlogs};
+  known = {.at = now, .backlogs = report.backlogs};
   AddPeerBacklogs(known.backlogs, 1);
 }
 
 void replica_table::ExpirePeerBacklogs(time_point now) {
   std::erase_if(peer_backlogs_, [&](const auto& item) {
-    const bool is_old = now - item.second.at > kPeerBacklogTime;
+    const bool is_old = now - item.second.at > kPeerBacklogLifetime;
     if (is_old) {
       AddPeerBacklogs(item.second.backlogs, -1);
     }
@@ -258,8 +258,8 @@
 
 duration replica_table::OldestPeerBacklog(time_point now) const {
   duration oldest{0};
-  for (const auto& [peer, told] : peer_backlogs_) {
-    oldest = std::max(oldest, now - told.at);
+  for (const auto& [peer, report] : peer_backlogs_) {
+    oldest = std::max(oldest, now - report.at);
   }
   return oldest;
 }
@@ -300,12 +300,12 @@
                                replica_index index,
                                duration wait) {
   replicas_[index].limited_until = now + wait;
-  replicas_[index].limit_turn = wait;
+  replicas_[index].send_interval = wait;
 }
 
 void replica_table::ClearLimited(replica_index index) {
   replicas_[index].limited_until = {};
-  replicas_[index].limit_turn = duration(0);
+  replicas_[index].send_interval = duration(0);
 }
 
 void replica_table::OnEnd(replica_index index) {
@@ -321,17 +321,17 @@
   if (found == by_target_.end()) {
     return std::nullopt;
   }
-  std::optional<replica_index> home;
+  std::optional<replica_index> preferred;
   uint64_t best = 0;
   for (const replica_index index : found->second.indices) {
     const uint64_t weight =
         RendezvousWeight(prefix, replicas_[index].name_hash);
-    if (!home || weight > best) {
-      home = index;
+    if (!preferred || weight > best) {
+      preferred = index;
       best = weight;
     }
   }
-  return home;
+  return preferred;
 }
 
 engine_slots replica_table::CountSlots(std::string_view target) const {
@@ -348,13 +348,13 @@
 
 void replica_table::ClearQueued() {
   for (const replica_index index : queued_) {
-    replicas_[index].queued_here = 0;
+    replicas_[index].queued_locally = 0;
   }
   queued_.clear();
 }
 
 void replica_table::CountQueued(replica_index index) {
-  ++replicas_[index].queued_here;
+  ++replicas_[index].queued_locally;
   queued_.push_back(index);
 }
 
--- a/unittests/Routing/copy_budget_test.cc
+++ b/unittests/Routing/copy_budget_test.cc
@@ -157,10 +157,10 @@
 
 TEST(copy_budget_test, HasPlentyOnlyWhileHalfIsLeft) {
   copy_budget budget;
-  EXPECT_TRUE(budget.HasPlenty(kStart, kStore));
+  EXPECT_TRUE(budget.IsHalfFull(kStart, kStore));
   budget.TrySpend(kStart, kStore, true, 6 * kStore.copy_rate);
-  EXPECT_FALSE(budget.HasPlenty(kStart, kStore));
-  EXPECT_TRUE(budget.HasPlenty(kStart + std::chrono::seconds(2), kStore));
+  EXPECT_FALSE(budget.IsHalfFull(kStart, kStore));
+  EXPECT_TRUE(budget.IsHalfFull(kStart + std::chrono::seconds(2), kStore));
 }
 
 }  // namespace
--- a/unittests/Routing/outlier_detector_test.cc
+++ b/unittests/Routing/outlier_detector_test.cc
@@ -11,10 +11,10 @@
 outlier_detector After(int failures, int successes) {
   outlier_detector detector;
   for (int i = 0; i < successes; ++i) {
-    detector.OnAnswer(kStart, false);
+    detector.OnResponse(kStart, false);
   }
   for (int i = 0; i < failures; ++i) {
-    detector.OnAnswer(kStart, true);
+    detector.OnResponse(kStart, true);
   }
   return detector;
 }
@@ -36,7 +36,7 @@
 
 TEST(outlier_detector_test, OldFailuresLoseWeight) {
   outlier_detector detector = After(4, 0);
-  detector.OnAnswer(kStart + std::chrono::seconds(12), false);
+  detector.OnResponse(kStart + std::chrono::seconds(12), false);
   EXPECT_FALSE(detector.IsOutlier(0));
 }
 
--- a/unittests/Routing/prefix_cost_policy_test.cc
+++ b/unittests/Routing/prefix_cost_policy_test.cc
@@ -57,13 +57,13 @@
   }
 
   /// All replicas, the first home of the contract first.
-  std::vector<replica_index> HomesOf(uint64_t contract) const {
-    std::vector<replica_index> homes = eligible_;
-    std::sort(homes.begin(), homes.end(), [&](auto a, auto b) {
+  std::vector<replica_index> RankReplicas(uint64_t contract) const {
+    std::vector<replica_index> ranked = eligible_;
+    std::sort(ranked.begin(), ranked.end(), [&](auto a, auto b) {
       return RendezvousWeight(contract, table_[a].name_hash) >
              RendezvousWeight(contract, table_[b].name_hash);
     });
-    return homes;
+    return ranked;
   }
 
   void Warm(uint64_t contract, replica_index index, uint64_t incarnation = 1) {
@@ -82,11 +82,11 @@
 };
 
 TEST_F(prefix_cost_policy_test, WarmHomeIsChosen) {
-  const std::vector<replica_index> homes = HomesOf(5);
-  Warm(5, homes[1]);
-  table_.OnDispatch(homes[0], kContractTokens);
+  const std::vector<replica_index> ranked = RankReplicas(5);
+  Warm(5, ranked[1]);
+  table_.OnDispatch(ranked[0], kContractTokens);
   const placement chosen = Choose(5);
-  EXPECT_EQ(chosen.index, homes[1]);
+  EXPECT_EQ(chosen.index, ranked[1]);
   EXPECT_GT(chosen.expected_cached_tokens, 0.9 * kContractTokens);
 }
 
@@ -103,47 +103,47 @@
 // Symptom: an order computes a contract that was lost in a crash.
 // Cause: what a dead incarnation held is gone.
 TEST_F(prefix_cost_policy_test, DeadIncarnationHoldsNothing) {
-  const std::vector<replica_index> homes = HomesOf(5);
-  table_.OnDispatch(homes[0], 2 * kContractTokens);
-  Warm(5, homes[2], 0);
-  EXPECT_EQ(Choose(5).index, homes[1]);
-  Warm(5, homes[2], 1);
-  EXPECT_EQ(Choose(5).index, homes[2]);
+  const std::vector<replica_index> ranked = RankReplicas(5);
+  table_.OnDispatch(ranked[0], 2 * kContractTokens);
+  Warm(5, ranked[2], 0);
+  EXPECT_EQ(Choose(5).index, ranked[1]);
+  Warm(5, ranked[2], 1);
+  EXPECT_EQ(Choose(5).index, ranked[2]);
 }
 
 TEST_F(prefix_cost_policy_test,
        HotPrefixSpreadsWhenItsQueueOutgrowsRecomputing) {
-  const std::vector<replica_index> homes = HomesOf(5);
-  table_.OnDispatch(homes[0], 5 * kContractTokens);
-  EXPECT_EQ(Choose(5).index, homes[1]);
+  const std::vector<replica_index> ranked = RankReplicas(5);
+  table_.OnDispatch(ranked[0], 5 * kContractTokens);
+  EXPECT_EQ(Choose(5).index, ranked[1]);
 }
 
 TEST_F(prefix_cost_policy_test, LongUnusedPrefixIsExpectedToBeEvicted) {
-  const std::vector<replica_index> homes = HomesOf(5);
-  Warm(5, homes[2]);
-  table_.OnDispatch(homes[0], 2 * kContractTokens);
-  EXPECT_EQ(Choose(5).index, homes[2]);
+  const std::vector<replica_index> ranked = RankReplicas(5);
+  Warm(5, ranked[2]);
+  table_.OnDispatch(ranked[0], 2 * kContractTokens);
+  EXPECT_EQ(Choose(5).index, ranked[2]);
   now_ += std::chrono::seconds(60);
-  EXPECT_NE(Choose(5).index, homes[2]);
+  EXPECT_NE(Choose(5).index, ranked[2]);
 }
 
 // Symptom: under load prefixes are computed again on engine after engine.
 // Cause: a home without room for a moment was passed over.
 TEST_F(prefix_cost_policy_test, WaitsForAWarmReplicaThatWillSoonHaveRoom) {
-  const replica_index home = HomesOf(5)[0];
-  Warm(5, home);
-  has_room_[home] = false;
+  const replica_index preferred = RankReplicas(5)[0];
+  Warm(5, preferred);
+  has_room_[preferred] = false;
   const placement chosen = Choose(5);
-  EXPECT_EQ(chosen.index, home);
+  EXPECT_EQ(chosen.index, preferred);
   EXPECT_TRUE(chosen.must_wait);
 }
 
 /// The cost of each replica, computed the long way round.
 placement ChooseNaively(const placement_query& query) {
   const prefix_level& shared = query.levels[query.levels.size() - 2];
-  std::vector<replica_index> homes(query.eligible.begin(),
-                                   query.eligible.end());
-  std::sort(homes.begin(), homes.end(), [&](auto a, auto b) {
+  std::vector<replica_index> ranked(query.eligible.begin(),
+                                    query.eligible.end());
+  std::sort(ranked.begin(), ranked.end(), [&](auto a, auto b) {
     return RendezvousWeight(shared.hash, query.replicas[a].name_hash) >
            RendezvousWeight(shared.hash, query.replicas[b].name_hash);
   });
@@ -155,15 +155,15 @@
   for (size_t i = 0; i < query.eligible.size(); ++i) {
     const replica_index index = query.eligible[i];
     double cached = 0;
-    for (size_t rank = 0; rank < 3 && rank < homes.size(); ++rank) {
-      if (homes[rank] == index) {
+    for (size_t rank = 0; rank < 3 && rank < ranked.size(); ++rank) {
+      if (ranked[rank] == index) {
         cached = prior[rank] * shared.tokens;
       }
     }
-    const bool is_home = cached > 0;
+    const bool is_preferred = cached > 0;
     for (const prefix_level& level : query.levels) {
       for (const prefix_holder& holder : query.prefixes.Find(level.hash)) {
-        if (holder.index == index && is_home) {
+        if (holder.index == index && is_preferred) {
           cached =
               std::max(cached, prefix_cost_policy::EstimateHit(query, holder) *
                                    level.tokens);
@@ -175,12 +175,12 @@
                                           : query.replicas.EstimateRoomSeconds(
                                                 query.now, index);
     const double missing = std::max(0.0, shared.tokens - cached);
-    const double own =
+    const double unshared =
         query.prompt_tokens - std::max<double>(shared.tokens, cached);
     const double waiting = query.replicas.EstimateWaiting(query.now, index);
     const double cost =
         room + query.replicas.EstimateQueueSeconds(query.now, index) +
-        (own + (weight + waiting) * missing) / item.prefill_rate +
+        (unshared + (weight + waiting) * missing) / item.prefill_rate +
         0.002 * item.in_flight;
     if (cost < best_cost) {
       best_cost = cost;
--- a/unittests/Routing/prompt_length_classifier_test.cc
+++ b/unittests/Routing/prompt_length_classifier_test.cc
@@ -15,82 +15,86 @@
 }
 
 /// Ten seconds of traffic with the given requests a second.
-void Feed(prompt_length_classifier& kinds, int shorts, int longs) {
+void Feed(prompt_length_classifier& classifier, int shorts, int longs) {
   for (int i = 0; i < 100; ++i) {
     const time_point now = At(i * 0.1);
     for (int j = 0; j < shorts; ++j) {
-      kinds.CountPrompt(now, 800);
-      kinds.CountRead(now, false, 600);
+      classifier.CountPrompt(now, 800);
+      classifier.CountRead(now, false, 600);
     }
     for (int j = 0; j < longs; ++j) {
-      kinds.CountPrompt(now, 9'000);
-      kinds.CountRead(now, true, 3'000);
+      classifier.CountPrompt(now, 9'000);
+      classifier.CountRead(now, true, 3'000);
     }
   }
 }
 
 TEST(prompt_length_classifier_test, EachKindHasThePartThatItsReadingIs) {
-  prompt_length_classifier kinds;
-  Feed(kinds, 5, 2);
-  EXPECT_FALSE(kinds.IsLong(At(10), 800));
-  EXPECT_TRUE(kinds.IsLong(At(10), 9'000));
-  EXPECT_NEAR(kinds.ShortShare(At(10), kSlots), 1.0 / 3, 0.01);
+  prompt_length_classifier classifier;
+  Feed(classifier, 5, 2);
+  EXPECT_FALSE(classifier.IsLong(At(10), 800));
+  EXPECT_TRUE(classifier.IsLong(At(10), 9'000));
+  EXPECT_NEAR(classifier.ShortShare(At(10), kSlots), 1.0 / 3, 0.01);
 }
 
 // Symptom: with engines of few slots half of the short requests wait for a slot
 // while other engines have some.
 // Cause: the engines that are kept for them follow from reading alone.
 TEST(prompt_length_classifier_test, WhereSlotsBindAllAreShared) {
-  prompt_length_classifier kinds;
-  Feed(kinds, 5, 2);
+  prompt_length_classifier classifier;
+  Feed(classifier, 5, 2);
   for (int i = 0; i < 500; ++i) {
-    kinds.CountShortHeld(At(10), std::chrono::seconds(10));
+    classifier.CountShortHeld(At(10), std::chrono::seconds(10));
   }
-  EXPECT_GT(kinds.ShortShare(At(10), {.count = 150, .slots = 10'000}), 0);
-  EXPECT_EQ(kinds.ShortShare(At(10), {.count = 30, .slots = 2'000}), 0);
+  EXPECT_GT(classifier.ShortShare(At(10), {.count = 150, .slots = 10'000}), 0);
+  EXPECT_EQ(classifier.ShortShare(At(10), {.count = 30, .slots = 2'000}), 0);
 }
 
 TEST(prompt_length_classifier_test, FewEnginesAreShared) {
-  prompt_length_classifier kinds;
-  Feed(kinds, 5, 2);
-  EXPECT_EQ(kinds.ShortShare(At(10), {.count = 11, .slots = 11 * 64.0}), 0);
-  EXPECT_GT(kinds.ShortShare(At(10), {.count = 13, .slots = 13 * 64.0}), 0);
+  prompt_length_classifier classifier;
+  Feed(classifier, 5, 2);
+  EXPECT_EQ(classifier.ShortShare(At(10), {.count = 11, .slots = 11 * 64.0}),
+            0);
+  EXPECT_GT(classifier.ShortShare(At(10), {.count = 13, .slots = 13 * 64.0}),
+            0);
 }
 
 TEST(prompt_length_classifier_test, EnginesOfFewSlotsAreShared) {
-  prompt_length_classifier kinds;
-  Feed(kinds, 5, 2);
-  EXPECT_GT(kinds.ShortShare(At(10), {.count = 60, .slots = 60 * 64.0}), 0);
-  EXPECT_EQ(kinds.ShortShare(At(10), {.count = 160, .slots = 160 * 24.0}), 0);
+  prompt_length_classifier classifier;
+  Feed(classifier, 5, 2);
+  EXPECT_GT(classifier.ShortShare(At(10), {.count = 60, .slots = 60 * 64.0}),
+            0);
+  EXPECT_EQ(classifier.ShortShare(At(10), {.count = 160, .slots = 160 * 24.0}),
+            0);
 }
 
 // A fleet that falls behind holds more slots. Were the boundary given up then,
 // prefixes would be read at other engines just when there is no time for it.
 TEST(prompt_length_classifier_test, WhatMostPeersKeepIsKeptInAWaveToo) {
-  prompt_length_classifier kinds;
-  Feed(kinds, 5, 2);
+  prompt_length_classifier classifier;
+  Feed(classifier, 5, 2);
   for (int i = 0; i < 500; ++i) {
-    kinds.CountShortHeld(At(10), std::chrono::seconds(10));
+    classifier.CountShortHeld(At(10), std::chrono::seconds(10));
   }
-  prompt_mix keeping = kinds.Own(At(10));
+  prompt_mix keeping = classifier.Own(At(10));
   keeping.reserves_engines = true;
-  kinds.OnPeer(At(10), "peer", keeping);
-  EXPECT_GT(kinds.ShortShare(At(10), {.count = 78, .slots = 5'000}), 0);
+  classifier.OnPeer(At(10), "peer", keeping);
+  EXPECT_GT(classifier.ShortShare(At(10), {.count = 78, .slots = 5'000}), 0);
 }
 
 TEST(prompt_length_classifier_test, OneKindAloneHasAllEngines) {
-  prompt_length_classifier kinds;
-  Feed(kinds, 5, 0);
-  EXPECT_EQ(kinds.ShortShare(At(10), kSlots), 0);
+  prompt_length_classifier classifier;
+  Feed(classifier, 5, 0);
+  EXPECT_EQ(classifier.ShortShare(At(10), kSlots), 0);
 }
 
 TEST(prompt_length_classifier_test, AFewRequestsDecideNothing) {
-  prompt_length_classifier kinds;
-  kinds.CountPrompt(At(0), 800);
-  kinds.CountRead(At(0), false, 600);
-  kinds.CountPrompt(At(0), 9'000);
-  kinds.CountRead(At(0), true, 3'000);
-  EXPECT_EQ(kinds.ShortShare(At(0), kSlots), 0);
+  prompt_length_classifier classifier;
+  classifier.CountPrompt(At(0), 800);
+  classifier.CountRead(At(0), false, 600);
+  classifier.CountPrompt(At(0), 9'000);
+  classifier.CountRead(At(0), true, 3'000);
+  EXPECT_EQ(classifier.ShortShare(At(0), kSlots), 0);
 }
 
 // Symptom: engines get long prompts from some daemons and short ones from
@@ -102,29 +106,29 @@
   prompt_length_classifier second;
   Feed(first, 9, 1);
   Feed(second, 1, 3);
-  const prompt_mix told_first = first.Own(At(10));
-  const prompt_mix told_second = second.Own(At(10));
-  first.OnPeer(At(10), "second", told_second);
-  second.OnPeer(At(10), "first", told_first);
+  const prompt_mix first_mix = first.Own(At(10));
+  const prompt_mix second_mix = second.Own(At(10));
+  first.OnPeer(At(10), "second", second_mix);
+  second.OnPeer(At(10), "first", first_mix);
   EXPECT_NEAR(first.ShortShare(At(10), kSlots),
               second.ShortShare(At(10), kSlots), 1e-9);
   // One that has just started knows it from its peers.
   prompt_length_classifier third;
-  third.OnPeer(At(10), "first", told_first);
-  third.OnPeer(At(10), "second", told_second);
+  third.OnPeer(At(10), "first", first_mix);
+  third.OnPeer(At(10), "second", second_mix);
   EXPECT_NEAR(third.ShortShare(At(10), kSlots),
               first.ShortShare(At(10), kSlots), 1e-9);
   EXPECT_TRUE(third.IsLong(At(10), 9'000));
 }
 
 TEST(prompt_length_classifier_test, ASilentPeerIsForgotten) {
-  prompt_length_classifier kinds;
+  prompt_length_classifier classifier;
   prompt_length_classifier peer;
   Feed(peer, 5, 2);
-  kinds.OnPeer(At(10), "peer", peer.Own(At(10)));
-  EXPECT_GT(kinds.ShortShare(At(10), kSlots), 0);
-  kinds.OnPeer(At(30), "other", {});
-  EXPECT_EQ(kinds.ShortShare(At(30), kSlots), 0);
+  classifier.OnPeer(At(10), "peer", peer.Own(At(10)));
+  EXPECT_GT(classifier.ShortShare(At(10), kSlots), 0);
+  classifier.OnPeer(At(30), "other", {});
+  EXPECT_EQ(classifier.ShortShare(At(30), kSlots), 0);
 }
 
 }  // namespace
--- a/unittests/Routing/replica_table_test.cc
+++ b/unittests/Routing/replica_table_test.cc
@@ -240,11 +240,11 @@
 // Symptom: a saved prefix is not found while engines change their weights.
 // Cause: its home, and so its store, was looked for among those that serve now.
 TEST_F(replica_table_test, AHomeStaysWhileItChanges) {
-  const auto home = table_.PreferredReplica("m", 7);
-  ASSERT_TRUE(home);
+  const auto preferred = table_.PreferredReplica("m", 7);
+  ASSERT_TRUE(preferred);
   table_.SetChanging(
-      {.upstream = table_[*home].spec.name, .is_changing = true});
-  EXPECT_EQ(table_.PreferredReplica("m", 7), home);
+      {.upstream = table_[*preferred].spec.name, .is_changing = true});
+  EXPECT_EQ(table_.PreferredReplica("m", 7), preferred);
   EXPECT_FALSE(table_.PreferredReplica("unknown", 7));
 }
 
