--- a/include/cuminswitch/Routing/prefix_index.h
+++ b/include/cuminswitch/Routing/prefix_index.h
@@ -57,7 +57,7 @@
   std::span<const prefix_holder> Find(uint64_t hash);
   /// Records that \p hash, as computed by \p weights, is being saved to the
   /// cache store.
-  void NoteSaved(time_point now, uint64_t hash, weights_tag weights);
+  void RecordSaved(time_point now, uint64_t hash, weights_tag weights);
   /// Returns whether \p hash was saved so recently that the store should still
   /// hold it.
   bool WasSaved(time_point now, uint64_t hash, weights_tag weights);
--- a/include/cuminswitch/Routing/prompt_length_classifier.h
+++ b/include/cuminswitch/Routing/prompt_length_classifier.h
@@ -35,17 +35,17 @@
   /// Counts an arriving request.
   void CountPrompt(time_point now, double prompt_tokens);
   /// Counts prompt tokens that an engine has to prefill for a request.
-  void CountRead(time_point now, bool is_long, double tokens);
+  void CountPrefill(time_point now, bool is_long, double tokens);
   /// Counts the time for which a request with a short prompt held an engine
   /// slot.
-  void CountShortHeld(time_point now, duration held);
+  void CountShortSlotTime(time_point now, duration held);
   /// Applies a peer's report of its traffic, which replaces its previous
   /// report.
   void OnPeer(time_point now,
               const std::string& peer,
               const prompt_mix& report);
   /// Returns this daemon's exponentially decayed recent traffic.
-  prompt_mix Own(time_point now) const;
+  prompt_mix LocalMix(time_point now) const;
 
   bool IsLong(time_point now, double prompt_tokens) const;
   /// Returns the share of the engines that is reserved for short prompts. It is
--- a/include/cuminswitch/Routing/replica_table.h
+++ b/include/cuminswitch/Routing/replica_table.h
@@ -119,7 +119,7 @@
   /// Called when an attempt is over.
   void OnEnd(replica_index index);
   /// Records the time from the first to the last byte of a response.
-  void LearnAnswerTime(replica_index index, duration took);
+  void LearnResponseTime(replica_index index, duration took);
   /// Records the time to first byte of a request without a prompt.
   void LearnFirstByte(replica_index index, duration took);
   /// Records the time to first byte of a request to \p target at any replica.
--- a/lib/Core/request_attempts.cc
+++ b/lib/Core/request_attempts.cc
@@ -88,12 +88,12 @@
                                 .incarnation = target.incarnation,
                                 .saved_weights = saved});
     if (saved != kNoWeights) {
-      prefixes_.NoteSaved(now, shared->hash, saved);
+      prefixes_.RecordSaved(now, shared->hash, saved);
     }
   }
   if (item.info.prompt_tokens > 0) {
     next.is_long = kinds_.IsLong(now, item.info.prompt_tokens);
-    kinds_.CountRead(now, next.is_long, next.expected_tokens);
+    kinds_.CountPrefill(now, next.is_long, next.expected_tokens);
   }
   replicas_.OnDispatch(chosen.index, next.expected_tokens);
   const uint32_t earlier = item.arrivals++;
@@ -173,7 +173,7 @@
                                      const attempt_ended& event) {
   replica& target = replicas_.at(done.index);
   if (done.first_byte) {
-    replicas_.LearnAnswerTime(done.index, now - *done.first_byte);
+    replicas_.LearnResponseTime(done.index, now - *done.first_byte);
   }
   for (const prefix_level& level : item.info.levels) {
     prefixes_.Touch(level.hash, {.index = done.index,
@@ -234,7 +234,7 @@
   }
   replicas_.OnEnd(done.index);
   if (item.info.prompt_tokens > 0 && !done.is_long) {
-    kinds_.CountShortHeld(now, now - done.sent);
+    kinds_.CountShortSlotTime(now, now - done.sent);
   }
   meters_[item.info.target].OnCompletion(now);
   LearnCrash(now, item, done, event);
@@ -392,7 +392,7 @@
       NotePeerPlacement(now, *index, item);
     }
     if (item.saved_weights != kNoWeights) {
-      prefixes_.NoteSaved(now, item.prefix, item.saved_weights);
+      prefixes_.RecordSaved(now, item.prefix, item.saved_weights);
     }
   }
 }
--- a/lib/Core/request_router.cc
+++ b/lib/Core/request_router.cc
@@ -306,7 +306,7 @@
 }
 
 prompt_mix request_router::OwnMix(time_point now) const {
-  prompt_mix mix = kinds_.Own(now);
+  prompt_mix mix = kinds_.LocalMix(now);
   mix.reserves_engines = short_share_ > 0;
   return mix;
 }
--- a/lib/Routing/prefix_index.cc
+++ b/lib/Routing/prefix_index.cc
@@ -94,9 +94,9 @@
   return found->uses * std::exp(-age / kUseDecaySeconds);
 }
 
-void prefix_index::NoteSaved(time_point now,
-                             uint64_t hash,
-                             weights_tag weights) {
+void prefix_index::RecordSaved(time_point now,
+                               uint64_t hash,
+                               weights_tag weights) {
   entry& found = FindOrAdd(hash);
   found.saved_at = now;
   found.saved_weights = weights;
--- a/lib/Routing/prompt_length_classifier.cc
+++ b/lib/Routing/prompt_length_classifier.cc
@@ -42,14 +42,14 @@
 }
 
 void prompt_length_classifier::Decay(time_point now) {
-  local_ = Own(now);
+  local_ = LocalMix(now);
   if (first_counted_at_ == time_point()) {
     first_counted_at_ = now;
   }
   local_at_ = now;
 }
 
-prompt_mix prompt_length_classifier::Own(time_point now) const {
+prompt_mix prompt_length_classifier::LocalMix(time_point now) const {
   if (first_counted_at_ == time_point()) {
     return {};
   }
@@ -70,14 +70,15 @@
   local_.prompt_tokens += prompt_tokens;
 }
 
-void prompt_length_classifier::CountRead(time_point now,
-                                         bool is_long,
-                                         double tokens) {
+void prompt_length_classifier::CountPrefill(time_point now,
+                                            bool is_long,
+                                            double tokens) {
   Decay(now);
   (is_long ? local_.long_prefill : local_.short_prefill) += tokens;
 }
 
-void prompt_length_classifier::CountShortHeld(time_point now, duration held) {
+void prompt_length_classifier::CountShortSlotTime(time_point now,
+                                                  duration held) {
   Decay(now);
   local_.short_held += ToSeconds(held);
 }
@@ -108,7 +109,7 @@
 
 prompt_mix prompt_length_classifier::FleetMix(time_point now) const {
   prompt_mix sum = peers_sum_;
-  Add(Own(now), sum);
+  Add(LocalMix(now), sum);
   return sum;
 }
 
--- a/lib/Routing/replica_learning.cc
+++ b/lib/Routing/replica_learning.cc
@@ -126,7 +126,7 @@
       kLearningRate * (tokens - item.computed_per_request);
 }
 
-void replica_table::LearnAnswerTime(replica_index index, duration took) {
+void replica_table::LearnResponseTime(replica_index index, duration took) {
   replica& item = replicas_[index];
   item.response_seconds +=
       kLearningRate * (ToSeconds(took) - item.response_seconds);
--- a/unittests/Routing/cache_planner_test.cc
+++ b/unittests/Routing/cache_planner_test.cc
@@ -85,7 +85,7 @@
   PlaceAt(1);
   now_ += std::chrono::seconds(11);
   EXPECT_EQ(Plan(0).source, (endpoint{"10.0.0.2", 1}));
-  prefixes_.NoteSaved(now_, 7, replicas_.WeightsAt(0, "m"));
+  prefixes_.RecordSaved(now_, 7, replicas_.WeightsAt(0, "m"));
   EXPECT_EQ(Plan(0).source, kStore) << "which has it for sure";
   now_ += std::chrono::seconds(120);
   EXPECT_EQ(Plan(0).source, kStore) << "nobody else may have it by now";
@@ -95,7 +95,7 @@
 // Sequence: a prefix is saved by engines with the older weights; one with the
 // newer weights is asked for it.
 TEST_F(cache_planner_test, WhatOtherWeightsSavedDoesNotCountAsSaved) {
-  prefixes_.NoteSaved(now_, 7, replicas_.WeightsAt(0, "m"));
+  prefixes_.RecordSaved(now_, 7, replicas_.WeightsAt(0, "m"));
   EXPECT_FALSE(Plan(0).sink.has_value());
   Report("a", "3");
   model_.version = "3";
@@ -105,7 +105,7 @@
 // Symptom: the store's link is full of prompts that are never asked for again.
 // Cause: a request's own part is saved along with the shared ones.
 TEST_F(cache_planner_test, APrefixIsSavedOnceInAWhile) {
-  prefixes_.NoteSaved(now_, 7, replicas_.WeightsAt(0, "m"));
+  prefixes_.RecordSaved(now_, 7, replicas_.WeightsAt(0, "m"));
   EXPECT_FALSE(Plan(0).sink.has_value());
   EXPECT_EQ(Plan(0).source, kStore);
   now_ += std::chrono::seconds(70);
@@ -144,7 +144,7 @@
 // were copied as long as any budget was left, and waited behind the long ones.
 TEST_F(cache_planner_test, AShortPrefixIsNotAskedOfABusyLink) {
   model_.cache_stores = {{.address = kStore, .copy_rate = 10'000}};
-  prefixes_.NoteSaved(now_, 7, replicas_.WeightsAt(0, "m"));
+  prefixes_.RecordSaved(now_, 7, replicas_.WeightsAt(0, "m"));
   EXPECT_TRUE(Plan(0, 12'000).source.has_value());
   EXPECT_FALSE(Plan(0, 150).source.has_value());
   EXPECT_TRUE(Plan(0, 6'000).source.has_value()) << "there is room for this";
--- a/unittests/Routing/prompt_length_classifier_test.cc
+++ b/unittests/Routing/prompt_length_classifier_test.cc
@@ -20,11 +20,11 @@
     const time_point now = At(i * 0.1);
     for (int j = 0; j < shorts; ++j) {
       classifier.CountPrompt(now, 800);
-      classifier.CountRead(now, false, 600);
+      classifier.CountPrefill(now, false, 600);
     }
     for (int j = 0; j < longs; ++j) {
       classifier.CountPrompt(now, 9'000);
-      classifier.CountRead(now, true, 3'000);
+      classifier.CountPrefill(now, true, 3'000);
     }
   }
 }
@@ -44,7 +44,7 @@
   prompt_length_classifier classifier;
   Feed(classifier, 5, 2);
   for (int i = 0; i < 500; ++i) {
-    classifier.CountShortHeld(At(10), std::chrono::seconds(10));
+    classifier.CountShortSlotTime(At(10), std::chrono::seconds(10));
   }
   EXPECT_GT(classifier.ShortShare(At(10), {.count = 150, .slots = 10'000}), 0);
   EXPECT_EQ(classifier.ShortShare(At(10), {.count = 30, .slots = 2'000}), 0);
@@ -74,9 +74,9 @@
   prompt_length_classifier classifier;
   Feed(classifier, 5, 2);
   for (int i = 0; i < 500; ++i) {
-    classifier.CountShortHeld(At(10), std::chrono::seconds(10));
+    classifier.CountShortSlotTime(At(10), std::chrono::seconds(10));
   }
-  prompt_mix keeping = classifier.Own(At(10));
+  prompt_mix keeping = classifier.LocalMix(At(10));
   keeping.reserves_engines = true;
   classifier.OnPeer(At(10), "peer", keeping);
   EXPECT_GT(classifier.ShortShare(At(10), {.count = 78, .slots = 5'000}), 0);
@@ -91,9 +91,9 @@
 TEST(prompt_length_classifier_test, AFewRequestsDecideNothing) {
   prompt_length_classifier classifier;
   classifier.CountPrompt(At(0), 800);
-  classifier.CountRead(At(0), false, 600);
+  classifier.CountPrefill(At(0), false, 600);
   classifier.CountPrompt(At(0), 9'000);
-  classifier.CountRead(At(0), true, 3'000);
+  classifier.CountPrefill(At(0), true, 3'000);
   EXPECT_EQ(classifier.ShortShare(At(0), kSlots), 0);
 }
 
@@ -106,8 +106,8 @@
   prompt_length_classifier second;
   Feed(first, 9, 1);
   Feed(second, 1, 3);
-  const prompt_mix first_mix = first.Own(At(10));
-  const prompt_mix second_mix = second.Own(At(10));
+  const prompt_mix first_mix = first.LocalMix(At(10));
+  const prompt_mix second_mix = second.LocalMix(At(10));
   first.OnPeer(At(10), "second", second_mix);
   second.OnPeer(At(10), "first", first_mix);
   EXPECT_NEAR(first.ShortShare(At(10), kSlots),
@@ -125,7 +125,7 @@
   prompt_length_classifier classifier;
   prompt_length_classifier peer;
   Feed(peer, 5, 2);
-  classifier.OnPeer(At(10), "peer", peer.Own(At(10)));
+  classifier.OnPeer(At(10), "peer", peer.LocalMix(At(10)));
   EXPECT_GT(classifier.ShortShare(At(10), kSlots), 0);
   classifier.OnPeer(At(30), "other", {});
   EXPECT_EQ(classifier.ShortShare(At(30), kSlots), 0);
--- a/unittests/StreamPauses/stream_pauses_test.cc
+++ b/unittests/StreamPauses/stream_pauses_test.cc
@@ -199,7 +199,7 @@
          .is_long = is_long});
     item.engine = chosen.index;
     item.expected = std::max(0.0, item.prompt - chosen.expected_cached_tokens);
-    daemon.kinds.CountRead(Now(), is_long, item.expected);
+    daemon.kinds.CountPrefill(Now(), is_long, item.expected);
     daemon.table.OnDispatch(item.engine, item.expected);
     daemon.prefixes.Touch(
         levels.front().hash,
@@ -282,7 +282,7 @@
   void TellNews() {
     for (size_t i = 0; i < daemons_.size(); ++i) {
       const peer_placements told{.peer = std::to_string(i),
-                                 .mix = daemons_[i]->kinds.Own(Now()),
+                                 .mix = daemons_[i]->kinds.LocalMix(Now()),
                                  .backlogs = daemons_[i]->table.ListBacklogs()};
       for (size_t j = 0; j < daemons_.size(); ++j) {
         if (i != j) {
