--- a/unittests/Routing/cache_planner_test.cc
+++ b/unittests/Routing/cache_planner_test.cc
@@ -1,4 +1,4 @@
-// Where a prefix is copied from and saved to.
+// Tests of where prefixes are copied from and saved to.
 #include "cuminswitch/Routing/cache_planner.h"
 
 #include <gtest/gtest.h>
@@ -66,45 +66,47 @@
   copy_budget budget_;
 };
 
-TEST_F(cache_planner_test, WhatNobodyHasIsComputedAndSaved) {
+TEST_F(cache_planner_test, SavesAPrefixWithoutKnownHolder) {
   EXPECT_EQ(Plan(0).source, kStore) << "another daemon may have saved it";
   EXPECT_EQ(Plan(0).sink, kStore);
 }
 
-TEST_F(cache_planner_test, WhatAnotherEngineHasIsCopiedFromThere) {
+TEST_F(cache_planner_test, CopiesFromAnotherEngineThatHasThePrefix) {
   PlaceAt(1);
   EXPECT_EQ(Plan(0).source, (endpoint{"10.0.0.2", 1}));
 }
 
-// Symptom: a fleet of 140 engines reads a tenth of its shared prompts again.
-// Sequence: an engine has had a prefix for a while, so that it may have dropped
-// it; the store has no copy of it; a request with it goes to another engine.
-// Cause: only an engine that surely had it was asked, and then only the store.
-TEST_F(cache_planner_test, AnEngineThatMayHaveItIsAskedBeforeAnEmptyStore) {
+// Guards against a fleet of 140 engines that recomputed a tenth of its shared
+// prompts. A request with a prefix goes to an engine without it. Another engine
+// used the prefix some time ago and may have evicted it, and the store has no
+// copy. Copies were requested only from an engine that was certain to have the
+// prefix, and otherwise only from the store.
+TEST_F(cache_planner_test, PrefersAProbableHolderToAStoreWithoutThePrefix) {
   replicas_.CountAdded(now_, "m", 1e6);
   PlaceAt(1);
   now_ += std::chrono::seconds(11);
   EXPECT_EQ(Plan(0).source, (endpoint{"10.0.0.2", 1}));
   prefixes_.RecordSaved(now_, 7, replicas_.WeightsAt(0, "m"));
-  EXPECT_EQ(Plan(0).source, kStore) << "which has it for sure";
+  EXPECT_EQ(Plan(0).source, kStore) << "the store is certain to have it";
   now_ += std::chrono::seconds(120);
-  EXPECT_EQ(Plan(0).source, kStore) << "nobody else may have it by now";
+  EXPECT_EQ(Plan(0).source, kStore) << "no engine is likely to have it";
 }
 
-// Symptom: requests are made to wait for copies that the store cannot have.
-// Sequence: a prefix is saved by engines with the older weights; one with the
-// newer weights is asked for it.
-TEST_F(cache_planner_test, WhatOtherWeightsSavedDoesNotCountAsSaved) {
+// Guards against requests that wait for copies which the store does not have: a
+// prefix was saved by engines with older weights, and a request with it runs on
+// newer weights.
+TEST_F(cache_planner_test, PrefixSavedByOtherWeightsIsSavedAgain) {
   prefixes_.RecordSaved(now_, 7, replicas_.WeightsAt(0, "m"));
   EXPECT_FALSE(Plan(0).sink.has_value());
   Report("a", "3");
   model_.version = "3";
-  EXPECT_EQ(Plan(0).sink, kStore) << "the newer weights save it anew";
+  EXPECT_EQ(Plan(0).sink, kStore) << "the newer weights save it again";
 }
 
-// Symptom: the store's link is full of prompts that are never asked for again.
-// Cause: a request's own part is saved along with the shared ones.
-TEST_F(cache_planner_test, APrefixIsSavedOnceInAWhile) {
+// Guards against a store's link that is saturated by prompts which are never
+// requested again: a request's unshared tokens are saved along with the shared
+// prefix, so it must not be saved with every request.
+TEST_F(cache_planner_test, SavesAPrefixAgainOnlyAfterItsLifetime) {
   prefixes_.RecordSaved(now_, 7, replicas_.WeightsAt(0, "m"));
   EXPECT_FALSE(Plan(0).sink.has_value());
   EXPECT_EQ(Plan(0).source, kStore);
@@ -112,73 +114,74 @@
   EXPECT_EQ(Plan(0).sink, kStore);
 }
 
-// Symptom: a copy takes longer than to compute what is copied.
-// Sequence: engines compute 36,000 tokens a second; a prefix of 60 tokens is
-// asked for at another engine, which takes a millisecond also where it has
-// gone.
-TEST_F(cache_planner_test, APrefixThatIsComputedAtOnceIsNotCopied) {
+// Guards against copies that take longer than computing the prefix: engines
+// compute 36,000 tokens per second, and a lookup of a prefix of 60 tokens at
+// another engine takes 1 ms even if it misses.
+TEST_F(cache_planner_test, DoesNotCopyPrefixesThatAreFastToCompute) {
   replicas_.at(0).prefill_rate = 36'000;
   PlaceAt(1);
   EXPECT_FALSE(Plan(0, 60).source.has_value());
   EXPECT_FALSE(Plan(0, 60).sink.has_value());
   EXPECT_TRUE(Plan(0, 200).source.has_value());
   replicas_.at(0).prefill_rate = 360'000;
-  EXPECT_FALSE(Plan(0, 200).source.has_value()) << "it follows their speed";
+  EXPECT_FALSE(Plan(0, 200).source.has_value())
+      << "the bound follows the prefill rate";
 }
 
-// Symptom: short requests wait for seconds on engines that have time.
-// Sequence: 60 engines lose their caches with new weights; all long prefixes
-// are copied from the store, whose link is full; a request with a prefix of 200
-// tokens is placed and its copy waits behind them.
-// Cause: a copy was asked of a link that was asked for all it carries already.
-TEST_F(cache_planner_test, AShortPrefixIsNotAskedOfAFullLink) {
+// Guards against short requests that wait for seconds on idle engines. 60
+// engines lose their caches because of new weights, and all long prefixes are
+// copied from the store, which saturates its link. The copy of a prefix of 200
+// tokens was requested too and waited behind them.
+TEST_F(cache_planner_test, DoesNotCopyAShortPrefixOverASaturatedLink) {
   model_.cache_stores = {{.address = kStore, .copy_rate = 1000}};
   EXPECT_TRUE(Plan(0, 60'000).source.has_value());
   EXPECT_FALSE(Plan(0, 200).source.has_value());
   EXPECT_FALSE(Plan(0, 200).sink.has_value());
 }
 
-// Symptom: two seconds pass before the first byte of requests with prefixes of
-// 200 tokens, which an engine computes in 5 ms. Sequence: a quarter of 80
-// engines crashes, and long prefixes are copied all the time. Cause: short ones
-// were copied as long as any budget was left, and waited behind the long ones.
-TEST_F(cache_planner_test, AShortPrefixIsNotAskedOfABusyLink) {
+// Guards against a time to first byte of 2 s for requests with prefixes of 200
+// tokens, which an engine computes in 5 ms. After a quarter of 80 engines
+// crashed, long prefixes were copied continuously. Short ones were copied as
+// long as any budget was left, and waited behind the long ones.
+TEST_F(cache_planner_test, DoesNotCopyAShortPrefixOverABusyLink) {
   model_.cache_stores = {{.address = kStore, .copy_rate = 10'000}};
   prefixes_.RecordSaved(now_, 7, replicas_.WeightsAt(0, "m"));
   EXPECT_TRUE(Plan(0, 12'000).source.has_value());
   EXPECT_FALSE(Plan(0, 150).source.has_value());
-  EXPECT_TRUE(Plan(0, 6'000).source.has_value()) << "there is room for this";
+  EXPECT_TRUE(Plan(0, 6'000).source.has_value())
+      << "budget is left for a long prefix";
 }
 
-// Symptom: for ten seconds after new weights most prefixes are computed again
-// and again. Sequence: nothing is saved under the new weights yet; each request
-// asks the store nevertheless. Cause: questions in vain were taken for copies,
-// and used up what saving needed.
-TEST_F(cache_planner_test, QuestionsInVainLeaveRoomForSaving) {
+// Guards against prefixes that are recomputed again and again for 10 s after
+// the publication of new weights. No prefix is saved for the new weights yet,
+// but each request tries to copy from the store. These misses were charged to
+// the budget as copies and left nothing for saving.
+TEST_F(cache_planner_test, MissesAtTheStoreLeaveBudgetForSaving) {
   model_.cache_stores = {{.address = kStore, .copy_rate = 10'000}};
   Report("a", "1");
   for (int i = 0; i < 5; ++i) {
     EXPECT_TRUE(Plan(0).source.has_value());
-    EXPECT_FALSE(Plan(0).sink.has_value()) << "of no use with older weights";
+    EXPECT_FALSE(Plan(0).sink.has_value())
+        << "prefixes of older weights are not saved";
   }
   Report("a", "2");
   EXPECT_EQ(Plan(0).sink, kStore);
 }
 
-// Symptom: a request runs on a cache that other weights made.
-TEST_F(cache_planner_test, NothingIsCopiedFromAnEngineWithOtherWeights) {
+// Guards against a request that uses cached prefixes of other weights.
+TEST_F(cache_planner_test, DoesNotCopyFromAnEngineWithOtherWeights) {
   PlaceAt(1);
   Report("b", "1");
   EXPECT_EQ(Plan(0).source, kStore);
   Report("a", "1");
   EXPECT_FALSE(Plan(0).sink.has_value())
-      << "what is known is known of the newest weights only";
+      << "only prefixes of the newest weights are saved";
 }
 
-// Symptom: a store's link carries half of what it could.
-// Cause: a prefix was kept by a store in another failure domain than its home,
-// and each copy took the link for twice as long.
-TEST_F(cache_planner_test, APrefixIsKeptNearItsHome) {
+// Guards against a store's link at half of its throughput: the prefix was kept
+// in a store outside the failure domain of its preferred replica, and each copy
+// occupied the link for twice as long.
+TEST_F(cache_planner_test, UsesAStoreInTheFailureDomainOfThePreferredReplica) {
   const endpoint near_a{"10.0.0.8", 8};
   const endpoint near_b{"10.0.0.9", 9};
   model_.cache_stores = {{.address = near_a, .failure_domain = "x"},
@@ -186,20 +189,20 @@
   const bool is_at_a = *replicas_.PreferredReplica("m", 7) == 0;
   EXPECT_EQ(Plan(0).source, is_at_a ? near_a : near_b);
   EXPECT_EQ(Plan(1).source, is_at_a ? near_a : near_b)
-      << "the same wherever it runs";
+      << "the store does not depend on the chosen replica";
 }
 
-TEST_F(cache_planner_test, WithoutBudgetNothingIsAskedOfTheStore) {
+TEST_F(cache_planner_test, DoesNotUseTheStoreWithoutBudget) {
   model_.cache_stores = {{.address = kStore, .copy_rate = 100}};
   EXPECT_TRUE(Plan(0).source.has_value());
   EXPECT_FALSE(Plan(0).source.has_value());
   EXPECT_FALSE(Plan(0).sink.has_value());
   PlaceAt(1);
   EXPECT_EQ(Plan(0).source, (endpoint{"10.0.0.2", 1}))
-      << "an engine's link is another one";
+      << "engines have links of their own";
 }
 
-TEST_F(cache_planner_test, TellsWhereAPrefixComesFromOrWhyItIsReadAgain) {
+TEST_F(cache_planner_test, ReportsTheOriginOfAPrefixOrWhyItIsRecomputed) {
   EXPECT_EQ(Plan(0).origin, prefix_origin::kStoreAssumed);
   EXPECT_EQ(Plan(0, 10).origin, prefix_origin::kTooShort);
   PlaceAt(1);
--- a/unittests/Routing/copy_budget_test.cc
+++ b/unittests/Routing/copy_budget_test.cc
@@ -1,4 +1,4 @@
-// What daemons ask of a cache store's link together.
+// Tests of the load that all daemons together put on a cache store's link.
 #include "cuminswitch/Routing/copy_budget.h"
 
 #include <gtest/gtest.h>
@@ -18,9 +18,9 @@
                               .failure_domain = "x",
                               .copy_rate = 300'000};
 
-/// Tokens that \p daemons get copied in ten seconds when each asks for 6,000
-/// tokens ten times a second.
-double CopiedIn10Seconds(size_t daemons, bool is_near) {
+/// Returns the tokens that \p daemons daemons may copy in 10 s when each
+/// requests 6,000 tokens ten times per second.
+double CountCopiedIn10Seconds(size_t daemons, bool is_near) {
   std::vector<copy_budget> budgets(daemons);
   double copied = 0;
   for (copy_budget& budget : budgets) {
@@ -33,51 +33,51 @@
   return copied;
 }
 
-// Symptom: each contract review waits two seconds, on a day without trouble.
-// Sequence: 60 engines lose their caches; 63 daemons have all prefixes copied
-// from three stores; the links are full from then on. Cause: no daemon knew
-// what the others asked for.
-TEST(copy_budget_test, TheFleetTogetherKeepsToABound) {
-  // Ten seconds, and two that were saved up, at twice the rate, where nothing
-  // has been learnt; and one copy more for each daemon, which is made from a
-  // small rest.
+// Guards against links that stay saturated, with requests waiting 2 s for each
+// long prefix, after the cause has passed: 60 engines lost their caches, and 63
+// daemons had all prefixes copied from three stores. No daemon knew what the
+// others requested.
+TEST(copy_budget_test, AllDaemonsTogetherStayWithinABound) {
+  // 10 s plus a burst of 2 s at twice the link rate, which is the initial link
+  // share; plus one copy for each daemon, since a copy may overdraw the budget.
   const double bound = 12 * 2 * kStore.copy_rate + 63 * 6'000;
-  EXPECT_LE(CopiedIn10Seconds(63, true), bound);
-  EXPECT_GE(CopiedIn10Seconds(63, true), 0.3 * bound);
+  EXPECT_LE(CountCopiedIn10Seconds(63, true), bound);
+  EXPECT_GE(CountCopiedIn10Seconds(63, true), 0.3 * bound);
 }
 
-TEST(copy_budget_test, FarCopiesTakeTheLinkForTwiceAsLong) {
-  // Each daemon's part is several copies.
+TEST(copy_budget_test, CopiesAcrossFailureDomainsCostTwiceAsMuch) {
+  // Each daemon's share allows several copies.
   constexpr size_t kDaemons = 160;
-  const double far = CopiedIn10Seconds(kDaemons, false);
-  EXPECT_NEAR(far, CopiedIn10Seconds(kDaemons, true) / 2, 0.2 * far);
+  const double far = CountCopiedIn10Seconds(kDaemons, false);
+  EXPECT_NEAR(far, CountCopiedIn10Seconds(kDaemons, true) / 2, 0.2 * far);
 }
 
-/// A fleet that asks a store's link for copies under virtual time. Engines lack
-/// what they ask for with some chance, and only that is carried.
-class link_of_a_fleet {
+/// Simulates a fleet that copies over one store's link, in virtual time.
+/// Engines lack a requested prefix with a given probability, and only missing
+/// prefixes are transferred.
+class simulated_fleet {
  public:
-  explicit link_of_a_fleet(size_t daemons) : budgets_(daemons) {
+  explicit simulated_fleet(size_t daemons) : budgets_(daemons) {
     for (copy_budget& budget : budgets_) {
       budget.SetFleetSize(daemons);
     }
   }
 
-  /// Plays \p seconds in which 300 requests a second with 6,000 shared tokens
-  /// arrive, of which a quarter is expected to be lacking; in truth engines
-  /// lack them with chance \p lacking. Returns the middle of the waits for
-  /// copies that were carried in the last ten seconds.
-  duration Play(int seconds, double lacking) {
+  /// Simulates \p seconds with 300 requests per second of 6,000 shared tokens
+  /// each. A quarter of the tokens is expected to be missing at the engine; the
+  /// actual probability of a missing prefix is \p miss_chance. Returns the
+  /// median wait of the copies that were transferred in the last 10 s.
+  duration Run(int seconds, double miss_chance) {
     std::vector<duration> waits;
     for (int i = 0; i < 300 * seconds; ++i) {
       now_ += std::chrono::microseconds(1'000'000 / 300);
       copy_budget& budget = budgets_[random_() % budgets_.size()];
       const bool is_copied = budget.TrySpend(now_, kStore, true, 1'500);
-      const bool is_carried = is_copied && IsLacking(lacking);
-      const duration wait = is_carried ? Carry(6'000) : duration(0);
+      const bool is_transferred = is_copied && IsMissing(miss_chance);
+      const duration wait = is_transferred ? Transfer(6'000) : duration(0);
       budget.OnFirstByte(
           is_copied ? std::optional(kStore.address) : std::nullopt, wait);
-      if (i >= 300 * (seconds - 10) && is_carried) {
+      if (i >= 300 * (seconds - 10) && is_transferred) {
         waits.push_back(wait);
       }
     }
@@ -94,13 +94,13 @@
   }
 
  private:
-  bool IsLacking(double chance) {
+  bool IsMissing(double chance) {
     return std::uniform_real_distribution<double>(0, 1)(random_) < chance;
   }
 
-  /// Copies go one after the other; one that would wait for more than two
-  /// seconds is given up on then.
-  duration Carry(double tokens) {
+  /// Transfers copies one after the other. A copy that would wait for more than
+  /// 2 s is abandoned after 2 s.
+  duration Transfer(double tokens) {
     free_at_ = std::max(free_at_, now_);
     const duration wait = free_at_ - now_;
     if (wait > std::chrono::seconds(2)) {
@@ -116,28 +116,29 @@
   time_point free_at_ = kStart;
 };
 
-// Symptom: an overloaded fleet of 80 engines stays late for good, with two
-// fifths of its reading time used. Sequence: a quarter of the engines crash;
-// the others push prefixes out and lack most of what they ask for. Cause: the
-// share of the link that daemons asked for was a constant, five times its rate,
-// which fits engines that have four fifths of it after all.
-TEST(copy_budget_test, AFullLinkIsAskedForLess) {
-  link_of_a_fleet fleet(95);
-  fleet.Play(60, 0.05);
-  EXPECT_LT(fleet.Play(30, 0.4), std::chrono::milliseconds(500));
+// Guards against a fleet of 80 engines that does not recover from overload,
+// although only two fifths of its prefill capacity are used. A quarter of the
+// engines crash; the others evict prefixes and lack most of those that they
+// request. The link share was a constant of five times the link rate, which is
+// right only while engines have four fifths of the requested prefixes cached.
+TEST(copy_budget_test, LowersTheShareOfASaturatedLink) {
+  simulated_fleet fleet(95);
+  fleet.Run(60, 0.05);
+  EXPECT_LT(fleet.Run(30, 0.4), std::chrono::milliseconds(500));
   EXPECT_LT(fleet.MeanShare(), 1.5);
 }
 
-// Symptom: engines compute again what a store has, while its link is idle.
-TEST(copy_budget_test, AnIdleLinkIsAskedForMore) {
-  link_of_a_fleet fleet(95);
-  EXPECT_LT(fleet.Play(60, 0.05), std::chrono::milliseconds(200));
+// Guards against engines that recompute prefixes which a store has, while its
+// link is idle.
+TEST(copy_budget_test, RaisesTheShareOfAnIdleLink) {
+  simulated_fleet fleet(95);
+  EXPECT_LT(fleet.Run(60, 0.05), std::chrono::milliseconds(200));
   EXPECT_GT(fleet.MeanShare(), 4);
 }
 
-// Symptom: engines that crashed are made up for by fewer copies, so that the
-// others compute even more. Cause: slow engines were taken for a full link.
-TEST(copy_budget_test, SlowEnginesAreNotTakenForAFullLink) {
+// Guards against fewer copies after engine crashes, which make the remaining
+// engines compute even more: slow engines were mistaken for a saturated link.
+TEST(copy_budget_test, SlowEnginesDoNotLowerTheLinkShare) {
   copy_budget budget;
   budget.TrySpend(kStart, kStore, true, 1);
   for (int i = 0; i < 100; ++i) {
@@ -147,7 +148,7 @@
   EXPECT_GT(budget.LinkShare(kStore.address), 1.2);
 }
 
-TEST(copy_budget_test, AnUnknownRateIsNotBounded) {
+TEST(copy_budget_test, DoesNotLimitALinkOfUnknownRate) {
   copy_budget budget;
   const cache_store_spec unknown{.address = {"10.0.0.9", 9}};
   for (int i = 0; i < 1'000; ++i) {
@@ -155,7 +156,7 @@
   }
 }
 
-TEST(copy_budget_test, HasPlentyOnlyWhileHalfIsLeft) {
+TEST(copy_budget_test, IsHalfFullOnlyWhileHalfOfTheBurstIsLeft) {
   copy_budget budget;
   EXPECT_TRUE(budget.IsHalfFull(kStart, kStore));
   budget.TrySpend(kStart, kStore, true, 6 * kStore.copy_rate);
--- a/unittests/Routing/outlier_detector_test.cc
+++ b/unittests/Routing/outlier_detector_test.cc
@@ -1,4 +1,4 @@
-// Upstreams that fail more often than their peers.
+// Tests of the detection of upstreams that fail more often than their peers.
 #include "cuminswitch/Routing/outlier_detector.h"
 
 #include <gtest/gtest.h>
@@ -19,16 +19,17 @@
   return detector;
 }
 
-// Symptom: a grey upstream fails 40% of its requests for seconds, its health
-// check being good.
-TEST(outlier_detector_test, FindsWhoFailsMuchMoreOftenThanTheOthers) {
+// Guards against an upstream with a grey failure: it fails 40% of its requests
+// for seconds while it passes its health check.
+TEST(outlier_detector_test,
+     DetectsAnUpstreamThatFailsMuchMoreOftenThanItsPeers) {
   EXPECT_TRUE(After(4, 6).IsOutlier(0.14));
   EXPECT_TRUE(After(3, 0).IsOutlier(0.14));
 }
 
-// Symptom: sound upstreams are ejected by turns.
-// Cause: failures that are the requests' own were held against them.
-TEST(outlier_detector_test, NaturalFailuresEjectNobody) {
+// Guards against healthy upstreams that are ejected one after the other,
+// because failures caused by the requests were counted against them.
+TEST(outlier_detector_test, FailuresCausedByRequestsMakeNoOutlier) {
   EXPECT_FALSE(After(2, 0).IsOutlier(0.14));
   EXPECT_FALSE(After(3, 15).IsOutlier(0.14));
   EXPECT_FALSE(After(5, 5).IsOutlier(0.5));
--- a/unittests/Routing/prefix_cost_policy_test.cc
+++ b/unittests/Routing/prefix_cost_policy_test.cc
@@ -56,7 +56,8 @@
             .reuse_weight = 3};
   }
 
-  /// All replicas, the first home of the contract first.
+  /// Returns all replicas in rendezvous order for the contract, most preferred
+  /// first.
   std::vector<replica_index> RankReplicas(uint64_t contract) const {
     std::vector<replica_index> ranked = eligible_;
     std::sort(ranked.begin(), ranked.end(), [&](auto a, auto b) {
@@ -81,7 +82,8 @@
   prefix_cost_policy policy_;
 };
 
-TEST_F(prefix_cost_policy_test, WarmHomeIsChosen) {
+TEST_F(prefix_cost_policy_test,
+       ChoosesThePreferredReplicaThatHasThePrefixCached) {
   const std::vector<replica_index> ranked = RankReplicas(5);
   Warm(5, ranked[1]);
   table_.OnDispatch(ranked[0], kContractTokens);
@@ -90,9 +92,9 @@
   EXPECT_GT(chosen.expected_cached_tokens, 0.9 * kContractTokens);
 }
 
-// Symptom: daemons that have just started scatter a contract over all engines.
-// Cause: with empty tables each would choose for itself.
-TEST_F(prefix_cost_policy_test, ColdDaemonsAgreeOnAHome) {
+// Guards against daemons that have just started and scatter a contract over all
+// engines: with empty tables, each would choose for itself.
+TEST_F(prefix_cost_policy_test, DaemonsWithoutStateAgreeOnAReplica) {
   for (uint64_t contract = 1; contract < 200; ++contract) {
     prefix_cost_policy other;
     const placement mine = Choose(contract);
@@ -100,9 +102,9 @@
   }
 }
 
-// Symptom: an order computes a contract that was lost in a crash.
-// Cause: what a dead incarnation held is gone.
-TEST_F(prefix_cost_policy_test, DeadIncarnationHoldsNothing) {
+// Guards against a request that is placed for a cached contract which was lost
+// in a crash: a new incarnation of an engine starts with an empty cache.
+TEST_F(prefix_cost_policy_test, IgnoresHoldersOfAnEarlierIncarnation) {
   const std::vector<replica_index> ranked = RankReplicas(5);
   table_.OnDispatch(ranked[0], 2 * kContractTokens);
   Warm(5, ranked[2], 0);
@@ -112,7 +114,7 @@
 }
 
 TEST_F(prefix_cost_policy_test,
-       HotPrefixSpreadsWhenItsQueueOutgrowsRecomputing) {
+       HotPrefixSpreadsWhenItsQueueExceedsRecomputation) {
   const std::vector<replica_index> ranked = RankReplicas(5);
   table_.OnDispatch(ranked[0], 5 * kContractTokens);
   EXPECT_EQ(Choose(5).index, ranked[1]);
@@ -127,9 +129,10 @@
   EXPECT_NE(Choose(5).index, ranked[2]);
 }
 
-// Symptom: under load prefixes are computed again on engine after engine.
-// Cause: a home without room for a moment was passed over.
-TEST_F(prefix_cost_policy_test, WaitsForAWarmReplicaThatWillSoonHaveRoom) {
+// Guards against prefixes that are recomputed on engine after engine under
+// load: a preferred replica that had no free slot for a moment was skipped.
+TEST_F(prefix_cost_policy_test,
+       WaitsForAReplicaWithThePrefixThatSoonHasAFreeSlot) {
   const replica_index preferred = RankReplicas(5)[0];
   Warm(5, preferred);
   has_room_[preferred] = false;
@@ -138,8 +141,9 @@
   EXPECT_TRUE(chosen.must_wait);
 }
 
-/// The cost of each replica, computed the long way round.
-placement ChooseNaively(const placement_query& query) {
+/// Reference implementation of `prefix_cost_policy::Choose()` without its
+/// optimizations.
+placement ChooseByReference(const placement_query& query) {
   const prefix_level& shared = query.levels[query.levels.size() - 2];
   std::vector<replica_index> ranked(query.eligible.begin(),
                                     query.eligible.end());
@@ -192,7 +196,7 @@
   return best;
 }
 
-TEST_F(prefix_cost_policy_test, AgreesWithTheNaiveChoice) {
+TEST_F(prefix_cost_policy_test, AgreesWithTheReferenceImplementation) {
   std::mt19937_64 random(8);
   for (int round = 0; round < 3000; ++round) {
     Warm(random() % 20, static_cast<replica_index>(random() % 12),
@@ -212,11 +216,11 @@
       continue;
     }
     const placement chosen = Choose(random() % 20, random() % 20);
-    const placement naive = ChooseNaively(MakeQuery());
-    EXPECT_EQ(chosen.index, naive.index);
-    EXPECT_EQ(chosen.must_wait, naive.must_wait);
+    const placement expected = ChooseByReference(MakeQuery());
+    EXPECT_EQ(chosen.index, expected.index);
+    EXPECT_EQ(chosen.must_wait, expected.must_wait);
     EXPECT_DOUBLE_EQ(chosen.expected_cached_tokens,
-                     naive.expected_cached_tokens);
+                     expected.expected_cached_tokens);
   }
 }
 
--- a/unittests/Routing/prefix_index_test.cc
+++ b/unittests/Routing/prefix_index_test.cc
@@ -22,16 +22,16 @@
   return result;
 }
 
-TEST(PrefixIndexDifferentialTest, AgreesWithANaiveMapBelowItsCapacity) {
+TEST(PrefixIndexDifferentialTest, AgreesWithAReferenceMapBelowItsCapacity) {
   std::mt19937_64 random(7);
   prefix_index index({.capacity = 1000});
-  std::map<uint64_t, std::set<replica_index>> naive;
+  std::map<uint64_t, std::set<replica_index>> expected;
   for (int step = 0; step < 20'000; ++step) {
     const uint64_t hash = random() % 300;
     const auto replica = static_cast<replica_index>(random() % 10);
     index.Touch(hash, {.index = replica, .used_at = At(step)});
-    naive[hash].insert(replica);
-    EXPECT_EQ(HoldersOf(index, hash), naive[hash]);
+    expected[hash].insert(replica);
+    EXPECT_EQ(HoldersOf(index, hash), expected[hash]);
   }
 }
 
@@ -43,7 +43,7 @@
   }
 }
 
-TEST(PrefixIndexTest, WhatIsUsedOutlivesWhatIsNot) {
+TEST(PrefixIndexTest, UsedPrefixesOutliveUnusedOnes) {
   prefix_index index({.capacity = 100});
   index.Touch(1'000'000, {.index = 1});
   for (uint64_t hash = 0; hash < 10'000; ++hash) {
@@ -53,7 +53,7 @@
   EXPECT_TRUE(index.Find(3).empty());
 }
 
-TEST(PrefixIndexTest, OldestHolderMakesWay) {
+TEST(PrefixIndexTest, EvictsTheLeastRecentHolder) {
   prefix_index index({.capacity = 100});
   for (replica_index replica = 0; replica < 40; ++replica) {
     index.Touch(1,
--- a/unittests/Routing/prompt_length_classifier_test.cc
+++ b/unittests/Routing/prompt_length_classifier_test.cc
@@ -1,4 +1,4 @@
-// Which prompts are long, and how many engines are kept for the short ones.
+// Tests of the length classes of prompts and the engines reserved for them.
 #include "cuminswitch/Routing/prompt_length_classifier.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,8 @@
   return time_point(FromSeconds(100 + seconds));
 }
 
-/// Ten seconds of traffic with the given requests a second.
+/// Counts 10 s of traffic, with the given numbers of short and long requests in
+/// every 0.1 s.
 void Feed(prompt_length_classifier& classifier, int shorts, int longs) {
   for (int i = 0; i < 100; ++i) {
     const time_point now = At(i * 0.1);
@@ -29,7 +30,7 @@
   }
 }
 
-TEST(prompt_length_classifier_test, EachKindHasThePartThatItsReadingIs) {
+TEST(prompt_length_classifier_test, EachClassGetsItsShareOfAllPrefill) {
   prompt_length_classifier classifier;
   Feed(classifier, 5, 2);
   EXPECT_FALSE(classifier.IsLong(At(10), 800));
@@ -37,10 +38,10 @@
   EXPECT_NEAR(classifier.ShortShare(At(10), kSlots), 1.0 / 3, 0.01);
 }
 
-// Symptom: with engines of few slots half of the short requests wait for a slot
-// while other engines have some.
-// Cause: the engines that are kept for them follow from reading alone.
-TEST(prompt_length_classifier_test, WhereSlotsBindAllAreShared) {
+// Guards against short requests that wait for a slot while other engines have
+// free ones. With engines of few slots this affected half of them, because the
+// number of reserved engines followed from prefill alone.
+TEST(prompt_length_classifier_test, SharesAllEnginesWhenSlotsAreTheBottleneck) {
   prompt_length_classifier classifier;
   Feed(classifier, 5, 2);
   for (int i = 0; i < 500; ++i) {
@@ -50,7 +51,7 @@
   EXPECT_EQ(classifier.ShortShare(At(10), {.count = 30, .slots = 2'000}), 0);
 }
 
-TEST(prompt_length_classifier_test, FewEnginesAreShared) {
+TEST(prompt_length_classifier_test, SharesAllEnginesWhenThereAreFew) {
   prompt_length_classifier classifier;
   Feed(classifier, 5, 2);
   EXPECT_EQ(classifier.ShortShare(At(10), {.count = 11, .slots = 11 * 64.0}),
@@ -59,7 +60,7 @@
             0);
 }
 
-TEST(prompt_length_classifier_test, EnginesOfFewSlotsAreShared) {
+TEST(prompt_length_classifier_test, SharesAllEnginesWhenTheyHaveFewSlots) {
   prompt_length_classifier classifier;
   Feed(classifier, 5, 2);
   EXPECT_GT(classifier.ShortShare(At(10), {.count = 60, .slots = 60 * 64.0}),
@@ -68,9 +69,10 @@
             0);
 }
 
-// A fleet that falls behind holds more slots. Were the boundary given up then,
-// prefixes would be read at other engines just when there is no time for it.
-TEST(prompt_length_classifier_test, WhatMostPeersKeepIsKeptInAWaveToo) {
+// An overloaded fleet holds more slots. If the reservation were dropped then,
+// prefixes would be prefilled at other engines just when capacity is short.
+TEST(prompt_length_classifier_test,
+     KeepsTheReservationOfMostPeersDuringAnOverload) {
   prompt_length_classifier classifier;
   Feed(classifier, 5, 2);
   for (int i = 0; i < 500; ++i) {
@@ -82,13 +84,13 @@
   EXPECT_GT(classifier.ShortShare(At(10), {.count = 78, .slots = 5'000}), 0);
 }
 
-TEST(prompt_length_classifier_test, OneKindAloneHasAllEngines) {
+TEST(prompt_length_classifier_test, SharesAllEnginesWithOneLengthClass) {
   prompt_length_classifier classifier;
   Feed(classifier, 5, 0);
   EXPECT_EQ(classifier.ShortShare(At(10), kSlots), 0);
 }
 
-TEST(prompt_length_classifier_test, AFewRequestsDecideNothing) {
+TEST(prompt_length_classifier_test, ReservesNothingAfterAFewRequests) {
   prompt_length_classifier classifier;
   classifier.CountPrompt(At(0), 800);
   classifier.CountPrefill(At(0), false, 600);
@@ -97,11 +99,11 @@
   EXPECT_EQ(classifier.ShortShare(At(0), kSlots), 0);
 }
 
-// Symptom: engines get long prompts from some daemons and short ones from
-// others, and prefixes are read at both.
-// Cause: each daemon drew the boundary from the few requests that it saw.
+// Guards against engines that get long prompts from some daemons and short ones
+// from others, so that prefixes are prefilled twice: each daemon derived the
+// boundary only from the few requests that it received itself.
 TEST(prompt_length_classifier_test,
-     DaemonsWithOtherTrafficDrawTheSameBoundary) {
+     DaemonsWithDifferentTrafficAgreeOnTheBoundary) {
   prompt_length_classifier first;
   prompt_length_classifier second;
   Feed(first, 9, 1);
@@ -112,7 +114,7 @@
   second.OnPeer(At(10), "first", first_mix);
   EXPECT_NEAR(first.ShortShare(At(10), kSlots),
               second.ShortShare(At(10), kSlots), 1e-9);
-  // One that has just started knows it from its peers.
+  // A daemon that has just started learns the boundary from its peers.
   prompt_length_classifier third;
   third.OnPeer(At(10), "first", first_mix);
   third.OnPeer(At(10), "second", second_mix);
@@ -121,7 +123,7 @@
   EXPECT_TRUE(third.IsLong(At(10), 9'000));
 }
 
-TEST(prompt_length_classifier_test, ASilentPeerIsForgotten) {
+TEST(prompt_length_classifier_test, ExpiresTheReportOfAPeer) {
   prompt_length_classifier classifier;
   prompt_length_classifier peer;
   Feed(peer, 5, 2);
--- a/unittests/Routing/replica_table_test.cc
+++ b/unittests/Routing/replica_table_test.cc
@@ -51,7 +51,7 @@
   EXPECT_EQ(Eligible(0, {"y"}), (std::vector<replica_index>{1}));
 }
 
-TEST_F(replica_table_test, OtherWeightsAreNotEligible) {
+TEST_F(replica_table_test, ReplicasWithOtherWeightsAreNotEligible) {
   table_.OnReport(At(0), MakeReport("a", "1"));
   EXPECT_EQ(Eligible(0), (std::vector<replica_index>{1}));
 }
@@ -73,8 +73,9 @@
   EXPECT_EQ(Eligible(1700).size(), 2U);
 }
 
-// Symptom: a replica that comes back from a crash is flooded and falls again.
-// Cause: it is cold, and counts as the least busy of all.
+// Guards against a replica that restarts after a crash, is overloaded at once
+// and crashes again: its cache is empty, and it looks like the least busy
+// replica.
 TEST_F(replica_table_test, ReplicaInANewIncarnationRampsUp) {
   upstream_report restarted = MakeReport("a");
   restarted.incarnation = 2;
@@ -94,10 +95,10 @@
   EXPECT_EQ(count_room(14'000), 8);
 }
 
-// Symptom: an upstream that was replaced by a sound process gets nothing.
-// Sequence: it fails and is left out for seconds; it starts again under its id.
-// Cause: what the earlier process did was held against the later one.
-TEST_F(replica_table_test, AReplicaThatStartsAgainIsJudgedAnew) {
+// Guards against a restarted upstream that gets no requests: it failed, was
+// ejected for seconds and started again under the same id. The failures of the
+// earlier process were counted against the new one.
+TEST_F(replica_table_test, RestartOfAReplicaClearsItsFailures) {
   for (int i = 0; i < 5; ++i) {
     table_.OnFailure(At(0), 0);
   }
@@ -111,7 +112,7 @@
   EXPECT_EQ(table_[0].prefill_rate, speed);
 }
 
-TEST_F(replica_table_test, NewWeightsDoNotExcuseAReplicaThatFails) {
+TEST_F(replica_table_test, NewWeightsDoNotClearFailures) {
   table_.OnFailure(At(0), 0);
   upstream_report changed = MakeReport("a");
   changed.incarnation = 2;
@@ -119,14 +120,15 @@
   EXPECT_EQ(Eligible(100).size(), 1U);
 }
 
-TEST_F(replica_table_test, BusyReplicaGetsLess) {
+TEST_F(replica_table_test, BusyResponseLowersTheLimit) {
   const double before = table_[0].limit;
   table_.OnBusy(At(0), 0);
   EXPECT_LT(table_[0].limit, before);
 }
 
-// Symptom: under overload every request waits in some engine for seconds.
-// Cause: more is sent to an engine than it can begin in time.
+// Guards against requests that all wait for seconds in an engine under
+// overload, because more requests are sent to an engine than it can start in
+// time.
 TEST_F(replica_table_test, LateFirstBytesLowerTheLimitAndPromptOnesRaiseIt) {
   const duration late = std::chrono::seconds(1);
   const duration prompt = std::chrono::milliseconds(50);
@@ -143,7 +145,7 @@
   EXPECT_EQ(table_[0].limit, 8);
 }
 
-TEST_F(replica_table_test, ManyLateFirstBytesOfOneQueueCountOnce) {
+TEST_F(replica_table_test, LateFirstBytesOfOneQueueLowerTheLimitOnce) {
   const double before = table_[0].limit;
   for (int i = 0; i < 100; ++i) {
     table_.AdaptLimit(At(2000 + i), 0, std::chrono::seconds(1), 0.1);
@@ -151,9 +153,9 @@
   EXPECT_EQ(table_[0].limit, 0.5 * before);
 }
 
-// Symptom: a fleet that has just started floods every engine.
-// Cause: each daemon takes the whole of an engine's limit for its own.
-TEST_F(replica_table_test, DaemonStartsWithItsPartOfTheLimit) {
+// Guards against a fleet that overloads every engine at its start, because each
+// daemon uses the whole limit of an engine for itself.
+TEST_F(replica_table_test, DaemonStartsWithItsShareOfTheLimit) {
   replica_table table;
   table.SetFleetSize(16);
   table.Reconfigure(At(0), MakeConfiguration());
@@ -168,7 +170,7 @@
   EXPECT_EQ(table_[0].limit, before);
 }
 
-TEST_F(replica_table_test, OldReportLosesItsWeight) {
+TEST_F(replica_table_test, LoadReportDecaysWithAge) {
   upstream_report report = MakeReport("a");
   report.waiting = 160;
   table_.OnReport(At(0), report);
@@ -187,12 +189,12 @@
   EXPECT_EQ(Eligible(0), (std::vector<replica_index>{0, 1}));
 }
 
-// Symptom: in a fleet of 63 daemons and 60 engines the load is uneven, and busy
-// engines get more while others rest.
-// Sequence: a daemon starts; engine a answers; a request is placed.
-// Cause: a was learnt to be five times as fast as the first guess, which still
-// stood for b, so that b looked five times as slow.
-TEST_F(replica_table_test, UnknownReplicasAreTakenForAsFastAsTheOthers) {
+// Guards against uneven load in a fleet of 63 daemons and 60 engines, where
+// busy engines get more requests while others are idle. After a daemon's start,
+// a response showed that engine a is five times as fast as the initial
+// estimate. That estimate still held for engine b, which thus looked five times
+// as slow.
+TEST_F(replica_table_test, ReplicasWithoutASampleUseTheRateOfTheirTarget) {
   for (int i = 0; i < 20; ++i) {
     table_.LearnPrefillRate(0, 4000, std::chrono::milliseconds(100));
   }
@@ -200,7 +202,7 @@
   EXPECT_NEAR(table_[1].prefill_rate, 40000, 1000);
 }
 
-TEST_F(replica_table_test, AMeasuredRateIsTheReplicasOwn) {
+TEST_F(replica_table_test, ReplicaWithASampleKeepsItsOwnRate) {
   table_.LearnPrefillRate(1, 1000, std::chrono::milliseconds(100));
   for (int i = 0; i < 20; ++i) {
     table_.LearnPrefillRate(0, 4000, std::chrono::milliseconds(100));
@@ -208,9 +210,9 @@
   EXPECT_LT(table_[1].prefill_rate, 15000);
 }
 
-// Symptom: an engine that joins later gets no requests for seconds.
-// Cause: its speed was the first guess again.
-TEST_F(replica_table_test, ANewReplicaIsTakenForAsFastAsTheOthers) {
+// Guards against an engine that joins later and gets no requests for seconds,
+// because its prefill rate was the initial estimate.
+TEST_F(replica_table_test, NewReplicaUsesTheRateOfItsTarget) {
   for (int i = 0; i < 20; ++i) {
     table_.LearnPrefillRate(0, 4000, std::chrono::milliseconds(100));
   }
@@ -223,7 +225,7 @@
   EXPECT_NEAR(table_[2].prefill_rate, 40000, 1000);
 }
 
-TEST_F(replica_table_test, AnEngineForgetsSoonerTheMoreIsAdded) {
+TEST_F(replica_table_test, HitChanceFallsWithTheTokensAddedToCaches) {
   configuration config = MakeConfiguration();
   config.models[0].cache_tokens = 100'000;
   table_.Reconfigure(At(0), config);
@@ -237,9 +239,10 @@
   EXPECT_EQ(table_.HitChance(At(0), "m", std::chrono::milliseconds(10)), 1);
 }
 
-// Symptom: a saved prefix is not found while engines change their weights.
-// Cause: its home, and so its store, was looked for among those that serve now.
-TEST_F(replica_table_test, AHomeStaysWhileItChanges) {
+// Guards against saved prefixes that are not found while engines change their
+// weights: the preferred replica, and with it the store, was chosen only among
+// the replicas that can serve now.
+TEST_F(replica_table_test, PreferredReplicaStaysWhileItsWeightsChange) {
   const auto preferred = table_.PreferredReplica("m", 7);
   ASSERT_TRUE(preferred);
   table_.SetChanging(
@@ -248,7 +251,7 @@
   EXPECT_FALSE(table_.PreferredReplica("unknown", 7));
 }
 
-TEST_F(replica_table_test, KnowsTheUsualWaitOfATarget) {
+TEST_F(replica_table_test, TracksTheMeanFirstByteOfATarget) {
   for (int i = 0; i < 200; ++i) {
     table_.LearnTargetFirstByte("m", std::chrono::milliseconds(500));
   }
