--- a/unittests/StreamPauses/stream_pauses_test.cc
+++ b/unittests/StreamPauses/stream_pauses_test.cc
@@ -344,7 +344,7 @@
   return pair;
 }
 
-TEST(stream_pauses_test, ShortQuestionsDoNotWaitForLongPromptsOfOthers) {
+TEST(stream_pauses_test, ShortPromptsAreNotDelayedByLongPrompts) {
   const fleet_pair pair = RunBoth({});
   EXPECT_LE(pair.reserved.shorts.Share(), 0.04);
   EXPECT_GT(pair.mixed.shorts.Share(), 5 * pair.reserved.shorts.Share());
@@ -353,13 +353,13 @@
   EXPECT_LE(pair.reserved.largest.Share(), pair.mixed.largest.Share() + 0.05);
 }
 
-TEST(stream_pauses_test, WithAQuarterOfTheEnginesGoneItStillPays) {
+TEST(stream_pauses_test, ReservingEnginesHelpsWithAQuarterOfThemMissing) {
   const fleet_pair pair = RunBoth({.missing_engines = 15});
   EXPECT_LE(pair.reserved.shorts.Share(), pair.mixed.shorts.Share());
   EXPECT_LE(pair.reserved.longs.Share(), pair.mixed.longs.Share() + 0.05);
 }
 
-TEST(stream_pauses_test, AHotPrefixDoesNotTakeTheShortOnesEngines) {
+TEST(stream_pauses_test, HotLongPrefixDoesNotDelayShortPrompts) {
   const fleet_pair pair = RunBoth({.hot_share = 0.3});
   EXPECT_LE(pair.reserved.shorts.Share(), 0.04);
   EXPECT_LE(pair.reserved.longs.Share(), pair.mixed.longs.Share() + 0.03);
