--- a/lib/Routing/replica_learning.cc
+++ b/lib/Routing/replica_learning.cc
@@ -198,8 +198,9 @@
   item.is_rate_measured = true;
   item.prefill_rate += kLearningRate * (sample - item.prefill_rate);
   // In a large fleet a daemon gets a response from each replica once in a few
-  // seconds. If each rate were learnt separately, the replicas that responded
-  // first would look several times as fast as the others and get all requests.
+  // seconds. If each rate were estimated separately, the replicas that
+  // responded first would look several times as fast as the others and get all
+  // requests.
   for (const std::string& name : item.spec.serves) {
     target_replicas& target = by_target_[name];
     target.estimate.LearnPrefillRate(sample);
