--- a/lib/Core/request_attempts.cc
+++ b/lib/Core/request_attempts.cc
@@ -315,7 +315,7 @@
   // One that takes nothing now by its own word is no better than waiting.
   return std::any_of(eligible.indices.begin(), eligible.indices.end(),
                      [&](replica_index index) {
-                       return now >= replicas_[index].ClosedUntil();
+                       return now >= replicas_[index].UnavailableUntil();
                      });
 }
 
--- a/lib/Core/request_notices.cc
+++ b/lib/Core/request_notices.cc
@@ -46,7 +46,7 @@
                                     const placement& chosen,
                                     action_list& out) {
   const replica& best = replicas_[chosen.index];
-  if (now >= best.ClosedUntil()) {
+  if (now >= best.UnavailableUntil()) {
     return false;
   }
   const duration wait =
