--- a/lib/Routing/prefix_index.cc
+++ b/lib/Routing/prefix_index.cc
@@ -6,13 +6,16 @@
 
 namespace cuminswitch {
 
-/// Holders kept per prefix; a hotter one is spread wide enough by then.
+/// Maximum number of holders stored per prefix: a prefix with this many holders
+/// is spread widely enough.
 static constexpr size_t kMaxHolders = 16;
-static constexpr double kUseLifetimeSeconds = 5;
-/// A saved prefix that is used is copied from the store now and then, which
-/// keeps it there; it is saved again only because a store may lose what it has.
-/// After 15 s, saving 800 contracts took half of the links of three stores.
-static constexpr duration kSavedTime = std::chrono::seconds(30);
+/// Time constant of the decay of a prefix's use count, in seconds.
+static constexpr double kUseDecaySeconds = 5;
+/// Time after which a saved prefix is saved again. A prefix in use is copied
+/// from the store from time to time, which keeps it there; it is saved again
+/// only because a store may lose data. With 15 s, saving 800 shared prefixes
+/// again took half of the link capacity of three stores.
+static constexpr duration kSavedLifetime = std::chrono::seconds(30);
 
 const prefix_holder* FindHolder(std::span<const prefix_holder> holders,
                                 replica_index index,
@@ -88,12 +91,12 @@
     return 0;
   }
   const double age = std::max(0.0, ToSeconds(now - found->counted_at));
-  return found->uses * std::exp(-age / kUseLifetimeSeconds);
+  return found->uses * std::exp(-age / kUseDecaySeconds);
 }
 
-void prefix_index::NoteSaved(time_point now,
-                             uint64_t hash,
-                             weights_tag weights) {
+void prefix_index::RecordSaved(time_point now,
+                               uint64_t hash,
+                               weights_tag weights) {
   entry& found = FindOrAdd(hash);
   found.saved_at = now;
   found.saved_weights = weights;
@@ -104,7 +107,8 @@
                             weights_tag weights) {
   const entry* found = Promote(hash);
   return found != nullptr && found->saved_at != time_point() &&
-         found->saved_weights == weights && now - found->saved_at < kSavedTime;
+         found->saved_weights == weights &&
+         now - found->saved_at < kSavedLifetime;
 }
 
 void prefix_index::CountUse(time_point now, uint64_t hash) {
