--- a/lib/Fleet/peer_table.cc
+++ b/lib/Fleet/peer_table.cc
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "cuminswitch/Support/hash.h"
-#include "roster_constants.h"
+#include "peer_table_constants.h"
 
 namespace cuminswitch {
 
--- a/lib/Fleet/roster_constants.h
+++ b/lib/Fleet/peer_table_constants.h
@@ -1,7 +1,7 @@
 /// \file
-/// Times and sizes that the parts of the roster share.
-#ifndef CUMINSWITCH_LIB_FLEET_ROSTER_CONSTANTS_H_
-#define CUMINSWITCH_LIB_FLEET_ROSTER_CONSTANTS_H_
+/// Times and sizes that the sources of the peer table share.
+#ifndef CUMINSWITCH_LIB_FLEET_PEER_TABLE_CONSTANTS_H_
+#define CUMINSWITCH_LIB_FLEET_PEER_TABLE_CONSTANTS_H_
 
 #include <cstddef>
 
@@ -77,4 +77,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_LIB_FLEET_ROSTER_CONSTANTS_H_
+#endif  // CUMINSWITCH_LIB_FLEET_PEER_TABLE_CONSTANTS_H_
--- a/lib/Fleet/peer_targets.cc
+++ b/lib/Fleet/peer_targets.cc
@@ -6,7 +6,7 @@
 #include "cuminswitch/Fleet/peer_table.h"
 #include "cuminswitch/Support/hash.h"
 #include "cuminswitch/Support/rendezvous.h"
-#include "roster_constants.h"
+#include "peer_table_constants.h"
 
 namespace cuminswitch {
 
--- a/unittests/Fleet/roster_fleet.cc
+++ b/unittests/Fleet/peer_table_simulation.cc
@@ -1,4 +1,4 @@
-#include "roster_fleet.h"
+#include "peer_table_simulation.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-roster_fleet::roster_fleet(const options& opts)
+peer_table_simulation::peer_table_simulation(const options& opts)
     : options_(opts), random_(opts.seed), hosts_(opts.hosts) {
   for (size_t i = 0; i < hosts_.size(); ++i) {
     by_address_[AddressOf(i)] = i;
@@ -28,17 +28,17 @@
   }
 }
 
-std::string roster_fleet::NameOf(size_t number) {
+std::string peer_table_simulation::NameOf(size_t number) {
   return "host-" + std::to_string(number);
 }
 
-endpoint roster_fleet::AddressOf(size_t number) {
+endpoint peer_table_simulation::AddressOf(size_t number) {
   return {.address = "10.0." + std::to_string(number / 250) + "." +
                      std::to_string(number % 250),
           .port = 7};
 }
 
-void roster_fleet::Start(size_t number, uint64_t incarnation) {
+void peer_table_simulation::Start(size_t number, uint64_t incarnation) {
   host& item = hosts_[number];
   item.record = {.name = NameOf(number),
                  .incarnation = incarnation,
@@ -65,16 +65,16 @@
   rounds_.emplace(now_ + interval * (random_() % 1000) / 1000, number);
 }
 
-void roster_fleet::Restart(size_t host) {
+void peer_table_simulation::Restart(size_t host) {
   Start(host, hosts_[host].record.incarnation + 1);
 }
 
-void roster_fleet::IncrementSelfVersion(size_t host, bool is_leaving) {
+void peer_table_simulation::IncrementSelfVersion(size_t host, bool is_leaving) {
   hosts_[host].record.is_leaving = is_leaving;
   hosts_[host].roster->IncrementSelfVersion();
 }
 
-duration roster_fleet::Delay() {
+duration peer_table_simulation::Delay() {
   std::uniform_real_distribution<double> chance(0, 1);
   duration delay =
       milliseconds(1) + std::chrono::microseconds(random_() % 3000);
@@ -87,7 +87,7 @@
   return delay;
 }
 
-void roster_fleet::Send(size_t from, const endpoint& address) {
+void peer_table_simulation::Send(size_t from, const endpoint& address) {
   const auto found = by_address_.find(address);
   if (found == by_address_.end()) {
     return;
@@ -115,7 +115,7 @@
                                .beat = std::move(beat)});
 }
 
-void roster_fleet::BeginRound(size_t number) {
+void peer_table_simulation::BeginRound(size_t number) {
   host& item = hosts_[number];
   if (!item.is_up) {
     return;
@@ -133,7 +133,7 @@
   }
 }
 
-void roster_fleet::Run(duration span) {
+void peer_table_simulation::Run(duration span) {
   const time_point end = now_ + span;
   while (true) {
     const auto round = rounds_.begin();
@@ -170,11 +170,11 @@
   now_ = end;
 }
 
-bool roster_fleet::Sees(size_t number, size_t other) const {
+bool peer_table_simulation::Sees(size_t number, size_t other) const {
   return hosts_[number].roster->IsAlive(now_, hosts_[other].record.name);
 }
 
-size_t roster_fleet::CountMissing(size_t other) const {
+size_t peer_table_simulation::CountMissing(size_t other) const {
   size_t count = 0;
   for (size_t i = 0; i < hosts_.size(); ++i) {
     count += i != other && hosts_[i].is_up && !Sees(i, other) ? 1 : 0;
@@ -182,7 +182,7 @@
   return count;
 }
 
-size_t roster_fleet::CountUnseen() const {
+size_t peer_table_simulation::CountUnseen() const {
   size_t count = 0;
   for (size_t i = 0; i < hosts_.size(); ++i) {
     count += hosts_[i].is_up ? CountMissing(i) : 0;
@@ -190,7 +190,7 @@
   return count;
 }
 
-size_t roster_fleet::CountLeavingKnown(size_t other) const {
+size_t peer_table_simulation::CountLeavingKnown(size_t other) const {
   size_t count = 0;
   for (size_t i = 0; i < hosts_.size(); ++i) {
     const daemon_record* known =
--- a/unittests/Fleet/roster_fleet.h
+++ b/unittests/Fleet/peer_table_simulation.h
@@ -1,7 +1,7 @@
 /// \file
-/// A fleet of rosters in virtual time.
-#ifndef CUMINSWITCH_UNITTESTS_FLEET_ROSTER_FLEET_H_
-#define CUMINSWITCH_UNITTESTS_FLEET_ROSTER_FLEET_H_
+/// A fleet of peer tables in virtual time.
+#ifndef CUMINSWITCH_UNITTESTS_FLEET_PEER_TABLE_SIMULATION_H_
+#define CUMINSWITCH_UNITTESTS_FLEET_PEER_TABLE_SIMULATION_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -18,7 +18,7 @@
 namespace cuminswitch {
 
 /// Plays the beats of many daemons over links that delay, lose and are cut.
-class roster_fleet {
+class peer_table_simulation {
  public:
   struct options {
     size_t hosts = 30;
@@ -31,7 +31,7 @@
     uint64_t seed = 1;
   };
 
-  explicit roster_fleet(const options& opts);
+  explicit peer_table_simulation(const options& opts);
 
   /// Plays for \p span.
   void Run(duration span);
@@ -104,4 +104,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_UNITTESTS_FLEET_ROSTER_FLEET_H_
+#endif  // CUMINSWITCH_UNITTESTS_FLEET_PEER_TABLE_SIMULATION_H_
--- a/unittests/Fleet/roster_fleet_test.cc
+++ b/unittests/Fleet/peer_table_simulation_test.cc
@@ -1,5 +1,5 @@
 // Who is held for living, by fleets of many sizes.
-#include "roster_fleet.h"
+#include "peer_table_simulation.h"
 
 #include <gtest/gtest.h>
 
@@ -23,7 +23,7 @@
 
 /// How long until \p part of those that are up hold \p host for gone, at most
 /// ten seconds.
-duration TimeUntilMissing(roster_fleet& fleet,
+duration TimeUntilMissing(peer_table_simulation& fleet,
                           size_t host,
                           size_t up,
                           double part) {
@@ -38,9 +38,9 @@
 
 // Callers are sent to a host that is gone for 23 s in a fleet of a thousand:
 // each peer was heard in its turn, and a turn grows with the fleet.
-TEST(roster_fleet_test, ADeadHostIsKnownSoonWhateverTheFleetsSize) {
+TEST(peer_table_simulation_test, ADeadHostIsKnownSoonWhateverTheFleetsSize) {
   for (const size_t hosts : kSizes) {
-    roster_fleet fleet({.hosts = hosts});
+    peer_table_simulation fleet({.hosts = hosts});
     fleet.Run(kSettleTime);
     ASSERT_EQ(fleet.CountMissing(7), 0U) << hosts;
     const size_t beats = fleet.beats();
@@ -59,9 +59,9 @@
   }
 }
 
-TEST(roster_fleet_test, HalfOfTheFleetDiesAtOnce) {
+TEST(peer_table_simulation_test, HalfOfTheFleetDiesAtOnce) {
   constexpr size_t kHosts = 300;
-  roster_fleet fleet({.hosts = kHosts});
+  peer_table_simulation fleet({.hosts = kHosts});
   fleet.Run(kSettleTime);
   for (size_t i = 0; i < kHosts / 2; ++i) {
     fleet.Kill(i);
@@ -78,10 +78,10 @@
 
 // Sound hosts are taken out of the answers, and lose what they own, where links
 // lose packets.
-TEST(roster_fleet_test, ALossyLinkIsNoDeath) {
+TEST(peer_table_simulation_test, ALossyLinkIsNoDeath) {
   constexpr size_t kHosts = 100;
   for (const double loss : {0.01, 0.05, 0.2}) {
-    roster_fleet fleet({.hosts = kHosts, .loss = loss});
+    peer_table_simulation fleet({.hosts = kHosts, .loss = loss});
     fleet.Run(kSettleTime + seconds(2));
     size_t unseen = 0;
     constexpr size_t kLooks = 50;
@@ -95,9 +95,9 @@
   }
 }
 
-TEST(roster_fleet_test, ADomainThatIsCutOffIsBackSoonAfter) {
+TEST(peer_table_simulation_test, ADomainThatIsCutOffIsBackSoonAfter) {
   constexpr size_t kHosts = 120;
-  roster_fleet fleet({.hosts = kHosts});
+  peer_table_simulation fleet({.hosts = kHosts});
   fleet.Run(kSettleTime);
   fleet.SetCut([&](size_t a, size_t b) {
     return (fleet.DomainOf(a) == 0) != (fleet.DomainOf(b) == 0);
@@ -114,9 +114,9 @@
 
 // A host that was suspended takes all others for gone when it wakes, and they
 // hold it for gone although it works again.
-TEST(roster_fleet_test, AHostThatFrozeIsBackSoonAfterItWakes) {
+TEST(peer_table_simulation_test, AHostThatFrozeIsBackSoonAfterItWakes) {
   constexpr size_t kHosts = 300;
-  roster_fleet fleet({.hosts = kHosts});
+  peer_table_simulation fleet({.hosts = kHosts});
   fleet.Run(kSettleTime);
   fleet.Freeze(5);
   fleet.Run(seconds(3));
@@ -126,9 +126,9 @@
   EXPECT_EQ(fleet.CountUnseen(), 0U);
 }
 
-TEST(roster_fleet_test, ARestartAndALeaveAreKnownSoon) {
+TEST(peer_table_simulation_test, ARestartAndALeaveAreKnownSoon) {
   for (const size_t hosts : {30, 300}) {
-    roster_fleet fleet({.hosts = hosts});
+    peer_table_simulation fleet({.hosts = hosts});
     fleet.Run(kSettleTime);
     fleet.IncrementSelfVersion(9, true);
     fleet.Run(milliseconds(700));
@@ -144,9 +144,9 @@
 
 // What others are told of members grows with the fleet, and fills the links of
 // a fleet that starts.
-TEST(roster_fleet_test, NewsOfMembersAreBounded) {
+TEST(peer_table_simulation_test, NewsOfMembersAreBounded) {
   constexpr size_t kHosts = 300;
-  roster_fleet fleet({.hosts = kHosts, .is_acquainted = false});
+  peer_table_simulation fleet({.hosts = kHosts, .is_acquainted = false});
   // Whoever missed a piece of news is told in turn.
   fleet.Run(seconds(5));
   EXPECT_EQ(fleet.CountUnseen(), 0U);
