--- a/lib/Fleet/peer_table.cc
+++ b/lib/Fleet/peer_table.cc
@@ -9,9 +9,10 @@
 
 namespace cuminswitch {
 
-/// What decides which of two statements on one daemon is the later one. To be
-/// suspected counts for the version that is suspected, and not for the next.
-static auto OrderOf(const daemon_record& record, bool is_suspected) {
+/// Returns a key that orders the updates on one daemon: the greater one is the
+/// later one. A suspicion outranks the record of the suspected version, and the
+/// record of the next version outranks the suspicion.
+static auto PrecedenceOf(const daemon_record& record, bool is_suspected) {
   return std::tuple(record.incarnation, record.version, is_suspected);
 }
 
@@ -36,99 +37,99 @@
 }
 
 bool peer_table::IsLarge() const {
-  return addresses_.size() > kBeatsPerRound;
+  return addresses_.size() > kHeartbeatsPerRound;
 }
 
 bool peer_table::IsPartial() const {
-  return addresses_.size() > kBeatsPerRound * kMostRoundsInATurn;
+  return addresses_.size() > kHeartbeatsPerRound * kMaxRoundsPerRotation;
 }
 
-bool peer_table::OnHeartbeat(time_point now, const heartbeat_frame& beat) {
-  const daemon_record& sender = beat.sender;
+bool peer_table::OnHeartbeat(time_point now, const heartbeat_frame& heartbeat) {
+  const daemon_record& sender = heartbeat.sender;
   if (sender.name == options_.self_name) {
     return false;
   }
-  for (const endpoint& address : beat.recent_peers) {
+  for (const endpoint& address : heartbeat.recent_peers) {
     if (address != options_.self_address) {
-      addresses_[address].named_at = now;
+      addresses_[address].advertised_at = now;
     }
   }
-  heard_any_at_ = now;
+  last_heartbeat_at_ = now;
   peer& known = peers_[sender.name];
   address_state& address = addresses_[sender.peer_address];
-  address.heard_at = now;
+  address.last_seen_at = now;
   address.owner = &known;
   if (sender.incarnation < known.record.incarnation) {
     return false;
   }
   const bool was_serving = known.record.is_ready;
-  const bool is_late = sender.incarnation == known.record.incarnation &&
-                       sender.version < known.record.version;
-  const bool is_news =
-      !is_late &&
+  const bool is_outdated = sender.incarnation == known.record.incarnation &&
+                           sender.version < known.record.version;
+  const bool is_change =
+      !is_outdated &&
       (!IsAlive(now, known) || known.record.incarnation != sender.incarnation ||
        known.record.version != sender.version ||
        known.record.is_ready != sender.is_ready ||
        known.record.is_leaving != sender.is_leaving);
-  if (!is_late) {
+  if (!is_outdated) {
     const bool is_same_version =
         known.record.incarnation == sender.incarnation &&
         known.record.version == sender.version;
     if (is_same_version && known.suspected_at) {
-      known.has_contradicted = true;
-      to_hear_suspicion_[sender.peer_address] = sender.name;
+      known.has_refuted = true;
+      must_notify_suspected_[sender.peer_address] = sender.name;
     } else if (!is_same_version) {
-      known.has_contradicted = false;
+      known.has_refuted = false;
     }
     known.suspected_at.reset();
     if (known.record.incarnation != sender.incarnation) {
-      known.began_at = now;
+      known.started_at = now;
     }
     known.record = sender;
     known.name_hash = Hash64(sender.name);
-    if (beat.is_watched) {
+    if (heartbeat.is_watched) {
       watched_.try_emplace(sender.name, now);
     } else {
       watched_.erase(sender.name);
     }
   }
-  known.heard_at = now;
-  known.known_at = now;
-  if (is_news) {
-    has_news_ = true;
+  known.last_seen_at = now;
+  known.alive_at = now;
+  if (is_change) {
+    has_changed_ = true;
     must_choose_watchers_ = true;
-    // Nobody needs to know of one that does not serve yet.
+    // A peer that does not serve callers yet is of no interest to others.
     if (IsLarge() && (sender.is_ready || was_serving)) {
-      bulletin_.Add({.record = sender});
+      member_updates_.Add({.record = sender});
     }
   }
-  for (const member_update& news : beat.members) {
-    OnMemberNews(now, news);
+  for (const member_update& update : heartbeat.members) {
+    OnMemberUpdate(now, update);
   }
-  return is_news;
+  return is_change;
 }
 
-void peer_table::OnMemberNews(time_point now, const member_update& news) {
-  const daemon_record& record = news.record;
+void peer_table::OnMemberUpdate(time_point now, const member_update& update) {
+  const daemon_record& record = update.record;
   if (record.name == options_.self_name) {
-    OnSelfNews(news);
+    OnSelfUpdate(update);
     return;
   }
   const auto found = peers_.find(record.name);
   const bool is_known = found != peers_.end();
-  if (!is_known && news.is_suspected) {
+  if (!is_known && update.is_suspected) {
     return;
   }
   if (is_known) {
     const peer& known = found->second;
-    if (OrderOf(record, news.is_suspected) <=
-        OrderOf(known.record,
-                known.suspected_at.has_value() || known.has_contradicted)) {
+    if (PrecedenceOf(record, update.is_suspected) <=
+        PrecedenceOf(known.record,
+                     known.suspected_at.has_value() || known.has_refuted)) {
       return;
     }
   }
   peer& item = is_known ? found->second : peers_[record.name];
-  if (news.is_suspected) {
+  if (update.is_suspected) {
     item.record.incarnation = record.incarnation;
     item.record.version = record.version;
     Suspect(now, item);
@@ -136,60 +137,61 @@
   }
   const revision_number revision = item.record.revision;
   if (item.record.incarnation != record.incarnation) {
-    item.began_at = now;
+    item.started_at = now;
   }
   item.record = record;
   item.record.revision = revision;
   item.name_hash = Hash64(record.name);
   item.suspected_at.reset();
-  item.has_contradicted = false;
-  item.known_at = now;
+  item.has_refuted = false;
+  item.alive_at = now;
   address_state& address = addresses_[record.peer_address];
-  address.named_at = now;
+  address.advertised_at = now;
   address.owner = &item;
-  bulletin_.Add(news);
-  has_news_ = true;
+  member_updates_.Add(update);
+  has_changed_ = true;
   must_choose_watchers_ = true;
 }
 
-void peer_table::OnSelfNews(const member_update& news) {
-  if (news.is_suspected &&
-      news.record.incarnation == options_.self_incarnation &&
-      news.record.version >= self_version_) {
-    self_version_ = news.record.version + 1;
+void peer_table::OnSelfUpdate(const member_update& update) {
+  if (update.is_suspected &&
+      update.record.incarnation == options_.self_incarnation &&
+      update.record.version >= self_version_) {
+    self_version_ = update.record.version + 1;
   }
 }
 
 void peer_table::Suspect(time_point now, peer& item) {
   item.suspected_at = now;
-  item.has_contradicted = false;
+  item.has_refuted = false;
   watched_.erase(item.record.name);
   must_choose_watchers_ = true;
   newly_suspected_.push_back(item.record.name);
-  bulletin_.Add({.record = item.record, .is_suspected = true});
+  member_updates_.Add({.record = item.record, .is_suspected = true});
 }
 
-void peer_table::SuspectSilent(time_point now) {
-  if (now - last_round_ > kLongestRound) {
-    awake_since_ = now;
+void peer_table::SuspectUnresponsive(time_point now) {
+  if (now - last_round_ > kMaxRoundGap) {
+    running_since_ = now;
   }
   last_round_ = now;
-  AdoptOrphans(now);
-  std::vector<peer*> silent;
+  AdoptUnmonitored(now);
+  std::vector<peer*> unresponsive;
   for (const auto& [name, since] : watched_) {
     peer& item = peers_.find(name)->second;
-    const duration most =
-        now - item.began_at < kStartTime ? kWatchSilenceAtStart : kWatchSilence;
-    if (now - std::max({item.heard_at, since, awake_since_}) > most) {
-      silent.push_back(&item);
+    const duration timeout = now - item.started_at < kStartupTime
+                                 ? kStartupSuspectTimeout
+                                 : kSuspectTimeout;
+    if (now - std::max({item.last_seen_at, since, running_since_}) > timeout) {
+      unresponsive.push_back(&item);
     }
   }
-  for (peer* item : silent) {
+  for (peer* item : unresponsive) {
     Suspect(now, *item);
   }
 }
 
-void peer_table::AdoptOrphans(time_point now) {
+void peer_table::AdoptUnmonitored(time_point now) {
   const bool is_due = IsPartial() && now >= next_adoption_;
   if (!IsLarge() || (!must_adopt_ && !is_due)) {
     return;
@@ -197,9 +199,9 @@
   must_adopt_ = false;
   next_adoption_ = now + kAdoptionInterval;
   for (const peer* item :
-       ListNext(now, ring_side::kWatched, true, kOwnDomainWatchers)) {
-    // One that never said anything new of itself may be of a release whose
-    // daemons are not watched.
+       ListRingNeighbors(now, ring_side::kWatched, true, kOwnDomainWatchers)) {
+    // A peer with version 0 may run a release that sends no heartbeats to
+    // monitors.
     if (item->record.version > 0) {
       watched_.try_emplace(item->record.name, now);
     }
@@ -209,42 +211,43 @@
 std::vector<member_update> peer_table::TakeMemberUpdates(
     time_point now,
     const endpoint& address) {
-  std::vector<member_update> news = bulletin_.Take(kMemberNewsPerBeat);
-  if (IsPartial() && news.size() < kMemberNewsPerBeat) {
-    // Whoever missed a piece of news learns it so, sooner or later.
-    for (const peer* item : NextLiving(now, 1)) {
+  std::vector<member_update> updates =
+      member_updates_.Take(kMemberUpdatesPerHeartbeat);
+  if (IsPartial() && updates.size() < kMemberUpdatesPerHeartbeat) {
+    // Reaches, sooner or later, the daemons that missed an update.
+    for (const peer* item : NextAlive(now, 1)) {
       if (!item->suspected_at) {
-        news.push_back({.record = item->record});
+        updates.push_back({.record = item->record});
       }
     }
   }
-  if (const auto found = to_hear_suspicion_.find(address);
-      found != to_hear_suspicion_.end()) {
-    news.push_back({.record = peers_.find(found->second)->second.record,
-                    .is_suspected = true});
-    to_hear_suspicion_.erase(found);
+  if (const auto found = must_notify_suspected_.find(address);
+      found != must_notify_suspected_.end()) {
+    updates.push_back({.record = peers_.find(found->second)->second.record,
+                       .is_suspected = true});
+    must_notify_suspected_.erase(found);
   }
-  return news;
+  return updates;
 }
 
-duration peer_table::Horizon() const {
+duration peer_table::FailureTimeout() const {
   const size_t rounds = std::max<size_t>(
-      1, (addresses_.size() + kBeatsPerRound - 1) / kBeatsPerRound);
+      1, (addresses_.size() + kHeartbeatsPerRound - 1) / kHeartbeatsPerRound);
   return kFailureTimeout + kHeartbeatInterval * (rounds - 1) * 3;
 }
 
 duration peer_table::ConvergenceTime() const {
-  return std::min(Horizon() + kFailureTimeout, kLongestNotice);
+  return std::min(FailureTimeout() + kFailureTimeout, kMaxConvergenceTime);
 }
 
 bool peer_table::IsAlive(time_point now, const peer& item) const {
-  const bool is_gone =
-      item.suspected_at && now - *item.suspected_at > kSuspicionTime;
-  if (item.known_at == time_point() || is_gone) {
+  const bool has_failed =
+      item.suspected_at && now - *item.suspected_at > kSuspicionTimeout;
+  if (item.alive_at == time_point() || has_failed) {
     return false;
   }
-  return IsPartial() ? now - heard_any_at_ <= kIsolatedAfter
-                     : now - item.known_at <= Horizon();
+  return IsPartial() ? now - last_heartbeat_at_ <= kIsolationTimeout
+                     : now - item.alive_at <= FailureTimeout();
 }
 
 const daemon_record* peer_table::Find(const std::string& name) const {
@@ -268,49 +271,49 @@
 }
 
 bool peer_table::TakeChanged(time_point now) {
-  own_domain_living_ = 0;
+  own_domain_alive_ = 0;
   for (auto& [name, item] : peers_) {
-    const bool is_living = IsAlive(now, item);
-    if (is_living && item.record.failure_domain == options_.self_domain) {
-      ++own_domain_living_;
+    const bool is_alive = IsAlive(now, item);
+    if (is_alive && item.record.failure_domain == options_.self_domain) {
+      ++own_domain_alive_;
     }
-    if (is_living != item.was_living) {
-      item.was_living = is_living;
-      has_news_ = true;
+    if (is_alive != item.was_alive) {
+      item.was_alive = is_alive;
+      has_changed_ = true;
       must_choose_watchers_ = true;
       must_adopt_ = must_adopt_ || item.suspected_at.has_value();
     }
   }
-  return std::exchange(has_news_, false);
+  return std::exchange(has_changed_, false);
 }
 
 std::vector<endpoint> peer_table::SampleAlive(time_point now) {
-  std::vector<endpoint> named;
+  std::vector<endpoint> sampled;
   if (IsPartial()) {
-    // There a whole record stands among the news of members.
-    return named;
+    // There, `TakeMemberUpdates` adds the record of a peer that is alive.
+    return sampled;
   }
-  for (const peer* item : NextLiving(now, kNamedPerBeat)) {
-    named.push_back(item->record.peer_address);
+  for (const peer* item : NextAlive(now, kAdvertisedPerHeartbeat)) {
+    sampled.push_back(item->record.peer_address);
   }
-  return named;
+  return sampled;
 }
 
-std::vector<const peer_table::peer*> peer_table::NextLiving(time_point now,
-                                                            size_t count) {
-  std::vector<const peer*> named;
-  auto next = peers_.upper_bound(last_named_);
-  for (size_t i = 0; i < peers_.size() && named.size() < count; ++i) {
+std::vector<const peer_table::peer*> peer_table::NextAlive(time_point now,
+                                                           size_t count) {
+  std::vector<const peer*> sampled;
+  auto next = peers_.upper_bound(last_sampled_);
+  for (size_t i = 0; i < peers_.size() && sampled.size() < count; ++i) {
     if (next == peers_.end()) {
       next = peers_.begin();
     }
     if (IsAlive(now, next->second)) {
-      named.push_back(&next->second);
-      last_named_ = next->first;
+      sampled.push_back(&next->second);
+      last_sampled_ = next->first;
     }
     ++next;
   }
-  return named;
+  return sampled;
 }
 
 size_t peer_table::CountPossiblyActive(time_point now) const {
@@ -319,9 +322,9 @@
              addresses_.begin(), addresses_.end(), [&](const auto& item) {
                const address_state& state = item.second;
                return (state.owner != nullptr && IsAlive(now, *state.owner)) ||
-                      now - std::max({state.heard_at, state.named_at,
-                                      state.known_at}) <=
-                          kMaybeAtWorkTime;
+                      now - std::max({state.last_seen_at, state.advertised_at,
+                                      state.first_known_at}) <=
+                          kPossiblyActiveTime;
              });
 }
 
--- a/lib/Fleet/peer_table_constants.h
+++ b/lib/Fleet/peer_table_constants.h
@@ -9,71 +9,78 @@
 
 namespace cuminswitch {
 
-/// Beats sent in one round, so that a daemon's cost stays flat as the fleet
-/// grows; a larger fleet is gone through in turn.
-inline constexpr size_t kBeatsPerRound = 16;
-/// A turn that takes more rounds is not gone through: it would last 1.5 s, and
-/// what a peer's requests wait for is forgotten after a second.
-inline constexpr size_t kMostRoundsInATurn = 12;
-/// Partners of other failure domains. Beats between domains are the dearer
-/// ones; a few links a daemon join the domains as well as many.
+/// Heartbeats sent in one round. The bound keeps the cost of a daemon constant
+/// as the fleet grows; a larger fleet is covered in rotation.
+inline constexpr size_t kHeartbeatsPerRound = 16;
+/// A fleet that would need more rounds is partial: a rotation would last 1.5 s,
+/// and the backlog that a peer reports expires after a second.
+inline constexpr size_t kMaxRoundsPerRotation = 12;
+/// Gossip partners in other failure domains. Heartbeats between domains cost
+/// more, and a few links per daemon connect the domains as well as many.
 inline constexpr size_t kOtherDomainPartners = 4;
-/// How long a partner is kept. A connection is opened for it, and pays for
-/// itself over this.
-inline constexpr duration kPartnerTime = std::chrono::seconds(20);
-/// A partner of which nothing is heard by then is not there.
-inline constexpr duration kUnknownPartnerTime = std::chrono::seconds(2);
-/// How often a daemon looks whether those next to it on the ring are watched.
+/// How long a gossip partner is kept, long enough to make up for the cost of
+/// opening a connection to it.
+inline constexpr duration kPartnerLifetime = std::chrono::seconds(20);
+/// A partner without a known record that has not replied by then is dropped.
+inline constexpr duration kUnansweredPartnerTimeout = std::chrono::seconds(2);
+/// Time between two searches for unmonitored neighbors on the ring.
 inline constexpr duration kAdoptionInterval = std::chrono::seconds(5);
-/// Where no peer at all was heard for so long this daemon is cut off.
-inline constexpr duration kIsolatedAfter = std::chrono::seconds(3);
-/// Beats of a round beside these, to the peers that watch this daemon. Those of
-/// its failure domain are near and cheap to beat; one of another domain is left
-/// when the domain is lost. Where half of a fleet is lost at once, one in eight
-/// times none of the three is left, and the next ones adopt the daemon.
+/// Without a heartbeat from any peer for so long, this daemon is partitioned
+/// from all of them.
+inline constexpr duration kIsolationTimeout = std::chrono::seconds(3);
+/// Monitors of a daemon, which get a heartbeat in each round in addition to
+/// `kHeartbeatsPerRound`. Those in its own failure domain are near, so that
+/// these heartbeats are cheap; the one in another domain remains when the
+/// domain is lost. When half of a fleet is lost at once, all three are lost in
+/// one of eight cases, and the next neighbors adopt the daemon.
 inline constexpr size_t kOwnDomainWatchers = 2;
 inline constexpr size_t kOtherDomainWatchers = 1;
-/// A watched peer is suspected after five beats that did not come.
-inline constexpr duration kWatchSilence = std::chrono::milliseconds(600);
-/// The same for one that has started just now. It reads the whole list of the
-/// deployment, which takes a small host a second and more; in a fleet that
-/// starts all would suspect one another.
-inline constexpr duration kWatchSilenceAtStart = std::chrono::seconds(2);
-/// How long a daemon counts as started just now.
-inline constexpr duration kStartTime = std::chrono::seconds(15);
-/// From when a daemon hears that a peer is suspected until it takes it for
-/// gone. The news reach the peer, and its answer all others, in three rounds.
-inline constexpr duration kSuspicionTime = std::chrono::milliseconds(400);
-/// A daemon that was away for longer between two rounds has not read what its
-/// peers sent.
-inline constexpr duration kLongestRound = 3 * peer_table::kHeartbeatInterval;
-/// Peers named in a beat, others each time. The store lists them all, so this
-/// is for the time without it; many beats a second name all peers soon.
-inline constexpr size_t kNamedPerBeat = 3;
-/// Partners beaten in one round while there are news of members, and while
-/// there are none. Messages cost more than the bytes in them.
-inline constexpr size_t kPartnersWithNews = 8;
-inline constexpr size_t kPartnersAtRest = 1;
-/// News of members in one beat.
-inline constexpr size_t kMemberNewsPerBeat = 48;
-/// Peers that are told something out of turn.
-inline constexpr size_t kMostReachable = 96;
-/// A peer that was not heard for so long is tried rarely, where one round
-/// reaches all.
-inline constexpr duration kSilentAfter = std::chrono::seconds(2);
-inline constexpr duration kSilentInterval = std::chrono::seconds(1);
-/// Between two beats to one peer out of turn. All of a fleet that starts at
-/// once beat the same few seeds.
-inline constexpr duration kAnswerInterval = std::chrono::milliseconds(300);
-/// An address that only others named is forgotten after so long in silence.
+/// A monitored peer is suspected after five missed heartbeats.
+inline constexpr duration kSuspectTimeout = std::chrono::milliseconds(600);
+/// The same for a peer within `kStartupTime`. It is reading the whole list of
+/// the deployment, which takes a small host a second and more; in a fleet that
+/// starts, all daemons would otherwise suspect one another.
+inline constexpr duration kStartupSuspectTimeout = std::chrono::seconds(2);
+/// How long a daemon counts as just started.
+inline constexpr duration kStartupTime = std::chrono::seconds(15);
+/// Time from when a daemon learns that a peer is suspected until it regards it
+/// as failed. The suspicion reaches the peer, and its refutation all others,
+/// within three rounds.
+inline constexpr duration kSuspicionTimeout = std::chrono::milliseconds(400);
+/// A daemon that did not run for longer than this between two rounds has not
+/// read what its peers sent in the meantime.
+inline constexpr duration kMaxRoundGap = 3 * peer_table::kHeartbeatInterval;
+/// Peers advertised in a heartbeat, others each time. This is for when the
+/// store, which lists all of them, is unavailable; at many heartbeats a second
+/// all peers are advertised soon.
+inline constexpr size_t kAdvertisedPerHeartbeat = 3;
+/// Gossip partners that get a heartbeat in one round while there are member
+/// updates to send, and while there are none. The cost of a message is more
+/// than that of its bytes.
+inline constexpr size_t kPartnersPerRoundWithUpdates = 8;
+inline constexpr size_t kPartnersPerRoundWhenIdle = 1;
+/// Member updates in one heartbeat.
+inline constexpr size_t kMemberUpdatesPerHeartbeat = 48;
+/// Peers to which an update is sent at once, outside the rounds.
+inline constexpr size_t kMaxReachable = 96;
+/// After this time without a heartbeat from an address, it is contacted only
+/// every `kUnresponsiveInterval`, in a fleet that is not partial.
+inline constexpr duration kUnresponsiveAfter = std::chrono::seconds(2);
+inline constexpr duration kUnresponsiveInterval = std::chrono::seconds(1);
+/// Minimum time between the last heartbeat to a peer and a reply to it. All
+/// daemons of a fleet that starts at once contact the same few seeds.
+inline constexpr duration kReplyInterval = std::chrono::milliseconds(300);
+/// An address that neither the store nor the seeds list is forgotten after so
+/// long without a heartbeat from it or a peer that advertises it. A candidate
+/// for a partner that did not reply is not contacted again for as long.
 inline constexpr duration kForgetAfter = std::chrono::seconds(10);
-/// News of an end or a return reach all in less, whatever the fleet's size.
-inline constexpr duration kLongestNotice = std::chrono::seconds(4);
+/// Upper bound of the convergence time, whatever the size of the fleet.
+inline constexpr duration kMaxConvergenceTime = std::chrono::seconds(4);
 
-/// A daemon that was silent for longer is taken for gone for good: one that is
-/// killed is back within seconds, and a cut between hosts that lasts longer is
-/// an outage that operators know of.
-inline constexpr duration kMaybeAtWorkTime = std::chrono::seconds(60);
+/// A daemon that sent nothing for longer no longer counts as possibly active:
+/// one that is killed is restarted within seconds, and a network partition that
+/// lasts longer is an outage that operators know of.
+inline constexpr duration kPossiblyActiveTime = std::chrono::seconds(60);
 
 }  // namespace cuminswitch
 
--- a/lib/Fleet/peer_targets.cc
+++ b/lib/Fleet/peer_targets.cc
@@ -1,4 +1,4 @@
-// Whom a daemon beats, tells and asks.
+// Which peers a daemon sends heartbeats, urgent updates and items requests to.
 #include <algorithm>
 #include <tuple>
 #include <utility>
@@ -10,19 +10,20 @@
 
 namespace cuminswitch {
 
-/// An address with its place in an order.
+/// An address with its weight, by which addresses are ordered.
 using ranked_address = std::pair<uint64_t, endpoint>;
 
-/// The place of \p address in the order that \p key stands for.
+/// Returns \p address with its weight in the order that \p key determines.
 static ranked_address Rank(uint64_t key, const endpoint& address) {
   return {RendezvousWeight(key, Hash64(address.address, address.port)),
           address};
 }
 
-std::vector<peer_table::peer*> peer_table::ListNext(time_point now,
-                                                    ring_side side,
-                                                    bool is_of_own_domain,
-                                                    size_t count) {
+std::vector<peer_table::peer*> peer_table::ListRingNeighbors(
+    time_point now,
+    ring_side side,
+    bool is_of_own_domain,
+    size_t count) {
   const uint64_t self = Hash64(options_.self_name);
   std::vector<std::pair<uint64_t, peer*>> ring;
   for (auto& [name, item] : peers_) {
@@ -56,7 +57,7 @@
          {std::pair(true, kOwnDomainWatchers),
           std::pair(false, kOtherDomainWatchers)}) {
       for (const peer* item :
-           ListNext(now, ring_side::kWatchers, is_own, count)) {
+           ListRingNeighbors(now, ring_side::kWatchers, is_own, count)) {
         chosen.insert(item->record.peer_address);
       }
     }
@@ -69,39 +70,41 @@
   watchers_ = std::move(chosen);
 }
 
-void peer_table::BeginTurn(time_point now) {
+void peer_table::BeginRotation(time_point now) {
   std::erase_if(addresses_, [&](const auto& item) {
     const address_state& state = item.second;
-    const bool lives = state.owner != nullptr && IsAlive(now, *state.owner);
-    return !state.is_listed && !lives &&
-           now - std::max(state.heard_at, state.named_at) > kForgetAfter;
+    const bool is_alive = state.owner != nullptr && IsAlive(now, *state.owner);
+    return !state.is_listed && !is_alive &&
+           now - std::max(state.last_seen_at, state.advertised_at) >
+               kForgetAfter;
   });
   const uint64_t key =
-      CombineHash(Hash64(options_.self_address.ToString()), ++turn_number_);
+      CombineHash(Hash64(options_.self_address.ToString()), ++rotation_number_);
   std::vector<ranked_address> order;
   order.reserve(addresses_.size());
   for (const auto& [address, state] : addresses_) {
     order.push_back(Rank(key, address));
   }
-  // Each daemon in an order of its own, so that no peer is beaten by all in the
-  // same moment, and news spread in all directions.
+  // Each daemon has an order of its own, so that heartbeats of all daemons do
+  // not reach one peer at the same moment, and updates spread in all
+  // directions.
   std::sort(order.begin(), order.end());
-  turn_.clear();
+  rotation_.clear();
   for (auto& [weight, address] : order) {
-    turn_.push_back(std::move(address));
+    rotation_.push_back(std::move(address));
   }
 }
 
-peer_table::address_map::value_type* peer_table::TakeNextInTurn(
+peer_table::address_map::value_type* peer_table::TakeNextInRotation(
     time_point now) {
-  while (!turn_.empty()) {
-    const auto found = addresses_.find(turn_.back());
-    turn_.pop_back();
+  while (!rotation_.empty()) {
+    const auto found = addresses_.find(rotation_.back());
+    rotation_.pop_back();
     if (found == addresses_.end()) {
       continue;
     }
-    if (found->second.known_at == time_point()) {
-      found->second.known_at = now;
+    if (found->second.first_known_at == time_point()) {
+      found->second.first_known_at = now;
     }
     return &*found;
   }
@@ -109,15 +112,16 @@
 }
 
 std::vector<endpoint> peer_table::ChooseTargets(time_point now) {
-  SuspectSilent(now);
+  SuspectUnresponsive(now);
   std::vector<endpoint> chosen;
   ChooseWatchers(now, chosen);
   chosen.insert(chosen.end(), watchers_.begin(), watchers_.end());
   if (IsPartial()) {
-    RenewPartners(now);
+    RefreshPartners(now);
     const size_t count =
-        std::min(partners_.size(),
-                 bulletin_.IsEmpty() ? kPartnersAtRest : kPartnersWithNews);
+        std::min(partners_.size(), member_updates_.IsEmpty()
+                                       ? kPartnersPerRoundWhenIdle
+                                       : kPartnersPerRoundWithUpdates);
     for (size_t i = 0; i < count; ++i) {
       const endpoint& address =
           partners_[next_partner_++ % partners_.size()].address;
@@ -127,12 +131,12 @@
     }
     return chosen;
   }
-  const size_t others = chosen.size() + kBeatsPerRound;
-  if (!IsLarge() || turn_.empty()) {
-    BeginTurn(now);
+  const size_t others = chosen.size() + kHeartbeatsPerRound;
+  if (!IsLarge() || rotation_.empty()) {
+    BeginRotation(now);
   }
   while (chosen.size() < others) {
-    address_map::value_type* item = TakeNextInTurn(now);
+    address_map::value_type* item = TakeNextInRotation(now);
     if (item == nullptr) {
       break;
     }
@@ -140,51 +144,52 @@
     if (watchers_.contains(next)) {
       continue;
     }
-    const bool is_silent = now - state.heard_at > kSilentAfter;
-    if (!is_silent || now - state.tried_at >= kSilentInterval) {
-      state.tried_at = now;
+    const bool is_unresponsive = now - state.last_seen_at > kUnresponsiveAfter;
+    if (!is_unresponsive ||
+        now - state.last_contacted_at >= kUnresponsiveInterval) {
+      state.last_contacted_at = now;
       chosen.push_back(next);
     }
   }
   return chosen;
 }
 
-bool peer_table::MayBePartner(time_point now,
+bool peer_table::CanBePartner(time_point now,
                               const address_state& state,
-                              time_point since) const {
+                              time_point added_at) const {
   if (state.owner != nullptr) {
     return IsAlive(now, *state.owner);
   }
-  return now - since < kUnknownPartnerTime;
+  return now - added_at < kUnansweredPartnerTimeout;
 }
 
-void peer_table::RenewPartners(time_point now) {
+void peer_table::RefreshPartners(time_point now) {
   std::erase_if(partners_, [&](const partner& item) {
     const auto found = addresses_.find(item.address);
     return found == addresses_.end() ||
-           !MayBePartner(now, found->second, item.since);
+           !CanBePartner(now, found->second, item.added_at);
   });
-  if (now >= next_renewal_ && partners_.size() == kBeatsPerRound) {
-    next_renewal_ = now + kPartnerTime / kBeatsPerRound;
+  if (now >= next_partner_change_ && partners_.size() == kHeartbeatsPerRound) {
+    next_partner_change_ = now + kPartnerLifetime / kHeartbeatsPerRound;
     partners_.erase(partners_.begin());
   }
-  if (partners_.size() < kBeatsPerRound) {
-    FindPartners(now);
+  if (partners_.size() < kHeartbeatsPerRound) {
+    AddPartners(now);
   }
 }
 
-void peer_table::FindPartners(time_point now) {
-  if (turn_.empty()) {
-    BeginTurn(now);
+void peer_table::AddPartners(time_point now) {
+  if (rotation_.empty()) {
+    BeginRotation(now);
   }
-  const size_t most_others = own_domain_living_ >= kBeatsPerRound
-                                 ? kOtherDomainPartners
-                                 : kBeatsPerRound;
+  const size_t max_others = own_domain_alive_ >= kHeartbeatsPerRound
+                                ? kOtherDomainPartners
+                                : kHeartbeatsPerRound;
   auto others = static_cast<size_t>(std::count_if(
       partners_.begin(), partners_.end(),
       [](const partner& item) { return !item.is_of_own_domain; }));
-  while (partners_.size() < kBeatsPerRound) {
-    address_map::value_type* candidate = TakeNextInTurn(now);
+  while (partners_.size() < kHeartbeatsPerRound) {
+    address_map::value_type* candidate = TakeNextInRotation(now);
     if (candidate == nullptr) {
       break;
     }
@@ -196,26 +201,26 @@
     const bool is_own =
         state.owner != nullptr &&
         state.owner->record.failure_domain == options_.self_domain;
-    // One that was tried in vain has its time again in the next turn.
-    const bool was_tried =
-        state.owner == nullptr && now - state.tried_at < kForgetAfter;
-    if (is_known || was_tried || (!is_own && others >= most_others) ||
-        !MayBePartner(now, state, now)) {
+    // A candidate that did not reply is considered again in a later rotation.
+    const bool was_contacted =
+        state.owner == nullptr && now - state.last_contacted_at < kForgetAfter;
+    if (is_known || was_contacted || (!is_own && others >= max_others) ||
+        !CanBePartner(now, state, now)) {
       continue;
     }
-    state.tried_at = now;
+    state.last_contacted_at = now;
     others += is_own ? 0 : 1;
     partners_.push_back(
-        {.address = next, .since = now, .is_of_own_domain = is_own});
+        {.address = next, .added_at = now, .is_of_own_domain = is_own});
   }
 }
 
 bool peer_table::TryReserveReply(time_point now, const endpoint& address) {
   address_state& state = addresses_[address];
-  if (now - state.tried_at < kAnswerInterval) {
+  if (now - state.last_contacted_at < kReplyInterval) {
     return false;
   }
-  state.tried_at = now;
+  state.last_contacted_at = now;
   return true;
 }
 
@@ -228,15 +233,16 @@
     return reachable;
   }
   std::vector<ranked_address> list;
-  const uint64_t key = Hash64(options_.self_address.ToString(), turn_number_);
+  const uint64_t key =
+      Hash64(options_.self_address.ToString(), rotation_number_);
   for (const auto& [address, state] : addresses_) {
-    if (now - state.heard_at <= kSilentAfter) {
+    if (now - state.last_seen_at <= kUnresponsiveAfter) {
       list.push_back(Rank(key, address));
     }
   }
   std::sort(list.begin(), list.end());
   std::vector<endpoint> reachable;
-  for (size_t i = 0; i < std::min(list.size(), kMostReachable); ++i) {
+  for (size_t i = 0; i < std::min(list.size(), kMaxReachable); ++i) {
     reachable.push_back(std::move(list[i].second));
   }
   return reachable;
@@ -244,8 +250,8 @@
 
 const daemon_record* peer_table::FindAhead(time_point now,
                                            revision_number revision,
-                                           uint64_t turn) const {
-  const uint64_t key = Hash64(options_.self_name, turn);
+                                           uint64_t request_number) const {
+  const uint64_t key = Hash64(options_.self_name, request_number);
   const auto rank = [&](const peer& item) {
     const bool is_own = item.record.failure_domain == options_.self_domain;
     const bool has_store = item.record.has_store;
--- a/unittests/Fleet/peer_table_simulation.cc
+++ b/unittests/Fleet/peer_table_simulation.cc
@@ -18,12 +18,12 @@
   }
   for (host& to : hosts_) {
     for (const host& from : hosts_) {
-      // Long ago, too: none of them has just started.
-      to.roster->OnHeartbeat(now_ - std::chrono::seconds(30),
-                             {.sender = from.record});
-      to.roster->OnHeartbeat(now_, {.sender = from.record});
+      // A heartbeat 30 s ago, so that no host counts as just started.
+      to.table->OnHeartbeat(now_ - std::chrono::seconds(30),
+                            {.sender = from.record});
+      to.table->OnHeartbeat(now_, {.sender = from.record});
     }
-    while (to.roster->TakeMemberUpdates(now_, {}).size() > 1) {
+    while (to.table->TakeMemberUpdates(now_, {}).size() > 1) {
     }
   }
 }
@@ -46,7 +46,7 @@
                  .caller_address = AddressOf(number),
                  .failure_domain = "domain-" + std::to_string(DomainOf(number)),
                  .is_ready = true};
-  item.roster = std::make_unique<peer_table>(
+  item.table = std::make_unique<peer_table>(
       peer_table::options{.self_name = item.record.name,
                           .self_incarnation = incarnation,
                           .self_address = item.record.peer_address,
@@ -56,10 +56,10 @@
   for (size_t i = 0; i < hosts_.size(); ++i) {
     listed.push_back({.name = NameOf(i), .peer_address = AddressOf(i)});
   }
-  item.roster->SetListed(listed);
-  // It serves from now on.
-  item.roster->IncrementSelfVersion();
-  item.record.version = item.roster->self_version();
+  item.table->SetListed(listed);
+  // The host serves callers from now on.
+  item.table->IncrementSelfVersion();
+  item.record.version = item.table->self_version();
   item.is_up = true;
   const duration interval = peer_table::kHeartbeatInterval;
   rounds_.emplace(now_ + interval * (random_() % 1000) / 1000, number);
@@ -71,18 +71,18 @@
 
 void peer_table_simulation::IncrementSelfVersion(size_t host, bool is_leaving) {
   hosts_[host].record.is_leaving = is_leaving;
-  hosts_[host].roster->IncrementSelfVersion();
+  hosts_[host].table->IncrementSelfVersion();
 }
 
-duration peer_table_simulation::Delay() {
+duration peer_table_simulation::NextDelay() {
   std::uniform_real_distribution<double> chance(0, 1);
   duration delay =
       milliseconds(1) + std::chrono::microseconds(random_() % 3000);
-  // Lost packets are sent again after a time that doubles.
-  duration again = milliseconds(200);
+  // A lost packet is sent again after a time-out that doubles each time.
+  duration retransmission = milliseconds(200);
   while (options_.loss > 0 && chance(random_) < options_.loss) {
-    delay += again;
-    again *= 2;
+    delay += retransmission;
+    retransmission *= 2;
   }
   return delay;
 }
@@ -94,25 +94,26 @@
   }
   const size_t to = found->second;
   host& sender = hosts_[from];
-  heartbeat_frame beat{
+  heartbeat_frame heartbeat{
       .sender = sender.record,
-      .recent_peers = sender.roster->SampleAlive(now_),
-      .is_watched = sender.roster->IsWatcher(address),
-      .members = sender.roster->TakeMemberUpdates(now_, address)};
-  beat.sender.version = sender.roster->self_version();
-  ++beats_;
-  member_news_ += beat.members.size();
-  most_news_ = std::max(most_news_, beat.members.size());
-  if (is_cut_ && is_cut_(from, to)) {
+      .recent_peers = sender.table->SampleAlive(now_),
+      .is_watched = sender.table->IsWatcher(address),
+      .members = sender.table->TakeMemberUpdates(now_, address)};
+  heartbeat.sender.version = sender.table->self_version();
+  ++heartbeat_count_;
+  member_update_count_ += heartbeat.members.size();
+  max_updates_per_heartbeat_ =
+      std::max(max_updates_per_heartbeat_, heartbeat.members.size());
+  if (is_partitioned_ && is_partitioned_(from, to)) {
     return;
   }
   time_point& busy = busy_until_[{from, to}];
-  busy = std::max(busy, now_ + Delay());
+  busy = std::max(busy, now_ + NextDelay());
   deliveries_.emplace(busy,
                       delivery{.from = from,
                                .to = to,
                                .incarnation = hosts_[to].record.incarnation,
-                               .beat = std::move(beat)});
+                               .heartbeat = std::move(heartbeat)});
 }
 
 void peer_table_simulation::BeginRound(size_t number) {
@@ -124,12 +125,12 @@
   if (item.is_frozen) {
     return;
   }
-  for (const endpoint& to : item.roster->ChooseTargets(now_)) {
+  for (const endpoint& to : item.table->ChooseTargets(now_)) {
     Send(number, to);
   }
-  // A daemon looks at all peers that often, too, while some come or go.
+  // A daemon, too, calls this every few rounds while peers change.
   if (++item.rounds % 4 == 0) {
-    item.roster->TakeChanged(now_);
+    item.table->TakeChanged(now_);
   }
 }
 
@@ -137,22 +138,23 @@
   const time_point end = now_ + span;
   while (true) {
     const auto round = rounds_.begin();
-    const auto beat = deliveries_.begin();
+    const auto heartbeat = deliveries_.begin();
     const bool has_round = round != rounds_.end() && round->first <= end;
-    const bool has_beat = beat != deliveries_.end() && beat->first <= end;
-    if (!has_round && !has_beat) {
+    const bool has_heartbeat =
+        heartbeat != deliveries_.end() && heartbeat->first <= end;
+    if (!has_round && !has_heartbeat) {
       break;
     }
-    if (!has_beat || (has_round && round->first <= beat->first)) {
+    if (!has_heartbeat || (has_round && round->first <= heartbeat->first)) {
       now_ = round->first;
       const size_t number = round->second;
       rounds_.erase(round);
       BeginRound(number);
       continue;
     }
-    now_ = beat->first;
-    const delivery item = std::move(beat->second);
-    deliveries_.erase(beat);
+    now_ = heartbeat->first;
+    const delivery item = std::move(heartbeat->second);
+    deliveries_.erase(heartbeat);
     host& to = hosts_[item.to];
     if (!to.is_up || to.record.incarnation != item.incarnation) {
       continue;
@@ -161,28 +163,28 @@
       deliveries_.emplace(now_ + milliseconds(20), item);
       continue;
     }
-    to.roster->OnHeartbeat(now_, item.beat);
-    if (to.roster->MustNotifySuspected(item.beat.sender.peer_address) &&
-        to.roster->TryReserveReply(now_, item.beat.sender.peer_address)) {
-      Send(item.to, item.beat.sender.peer_address);
+    to.table->OnHeartbeat(now_, item.heartbeat);
+    if (to.table->MustNotifySuspected(item.heartbeat.sender.peer_address) &&
+        to.table->TryReserveReply(now_, item.heartbeat.sender.peer_address)) {
+      Send(item.to, item.heartbeat.sender.peer_address);
     }
   }
   now_ = end;
 }
 
-bool peer_table_simulation::Sees(size_t number, size_t other) const {
-  return hosts_[number].roster->IsAlive(now_, hosts_[other].record.name);
+bool peer_table_simulation::SeesAlive(size_t number, size_t other) const {
+  return hosts_[number].table->IsAlive(now_, hosts_[other].record.name);
 }
 
 size_t peer_table_simulation::CountMissing(size_t other) const {
   size_t count = 0;
   for (size_t i = 0; i < hosts_.size(); ++i) {
-    count += i != other && hosts_[i].is_up && !Sees(i, other) ? 1 : 0;
+    count += i != other && hosts_[i].is_up && !SeesAlive(i, other) ? 1 : 0;
   }
   return count;
 }
 
-size_t peer_table_simulation::CountUnseen() const {
+size_t peer_table_simulation::CountUnseenPairs() const {
   size_t count = 0;
   for (size_t i = 0; i < hosts_.size(); ++i) {
     count += hosts_[i].is_up ? CountMissing(i) : 0;
@@ -194,7 +196,7 @@
   size_t count = 0;
   for (size_t i = 0; i < hosts_.size(); ++i) {
     const daemon_record* known =
-        hosts_[i].roster->Find(hosts_[other].record.name);
+        hosts_[i].table->Find(hosts_[other].record.name);
     count += known != nullptr && known->is_leaving ? 1 : 0;
   }
   return count;
--- a/unittests/Fleet/peer_table_simulation.h
+++ b/unittests/Fleet/peer_table_simulation.h
@@ -17,56 +17,64 @@
 
 namespace cuminswitch {
 
-/// Plays the beats of many daemons over links that delay, lose and are cut.
+/// Simulates the heartbeats of many daemons over links that delay and lose
+/// packets, and may be partitioned.
 class peer_table_simulation {
  public:
   struct options {
     size_t hosts = 30;
     size_t domains = 6;
-    /// Part of the packets that links lose; what is lost comes again later, and
-    /// what was sent after it on the same connection waits.
+    /// Share of the packets that links lose, 0 to 1. A lost packet is sent
+    /// again later, and what follows on the same connection waits for it.
     double loss = 0;
-    /// All have heard of all when it begins; else they have just started.
+    /// At the beginning all hosts know one another; otherwise they have just
+    /// started.
     bool is_acquainted = true;
     uint64_t seed = 1;
   };
 
   explicit peer_table_simulation(const options& opts);
 
-  /// Plays for \p span.
+  /// Advances the virtual time by \p span.
   void Run(duration span);
-  /// Stops a host; it sends and reads nothing any more.
+  /// Stops a host; from then on it neither sends nor reads.
   void Kill(size_t host) { hosts_[host].is_up = false; }
   /// Starts a host that was killed, in a new incarnation.
   void Restart(size_t host);
-  /// It neither sends nor reads until it is woken; what it was sent waits.
+  /// Suspends a host: until `Wake` it neither sends nor reads, and what is sent
+  /// to it waits.
   void Freeze(size_t host) { hosts_[host].is_frozen = true; }
   void Wake(size_t host) { hosts_[host].is_frozen = false; }
-  /// No beats pass between hosts for which \p is_cut says so.
-  void SetCut(std::function<bool(size_t, size_t)> is_cut) {
-    is_cut_ = std::move(is_cut);
+  /// Drops the heartbeats from one host to another for which \p is_partitioned
+  /// returns true.
+  void SetPartition(std::function<bool(size_t, size_t)> is_partitioned) {
+    is_partitioned_ = std::move(is_partitioned);
   }
   void IncrementSelfVersion(size_t host, bool is_leaving);
 
-  /// Whether \p host holds \p other for living.
-  bool Sees(size_t host, size_t other) const;
-  /// How many of the hosts that are up do not hold \p other for living.
+  /// Whether \p host regards \p other as alive.
+  bool SeesAlive(size_t host, size_t other) const;
+  /// Returns how many of the hosts that are up do not regard \p other as alive.
   size_t CountMissing(size_t other) const;
-  /// How many pairs of hosts that are up do not see one another.
-  size_t CountUnseen() const;
-  /// Hosts that know that \p other leaves.
+  /// Returns the number of ordered pairs of hosts that are up of which the
+  /// first does not regard the second as alive.
+  size_t CountUnseenPairs() const;
+  /// Returns how many hosts know that \p other is leaving.
   size_t CountLeavingKnown(size_t other) const;
   size_t DomainOf(size_t host) const { return host % options_.domains; }
   size_t size() const { return hosts_.size(); }
   time_point now() const { return now_; }
-  /// Beats sent so far, and news of members in them.
-  size_t beats() const { return beats_; }
-  size_t member_news_count() const { return member_news_; }
-  size_t most_news_in_a_beat() const { return most_news_; }
+  /// Heartbeats sent so far, the member updates in them, and the most member
+  /// updates that one of them had.
+  size_t heartbeat_count() const { return heartbeat_count_; }
+  size_t member_update_count() const { return member_update_count_; }
+  size_t max_updates_per_heartbeat() const {
+    return max_updates_per_heartbeat_;
+  }
 
  private:
   struct host {
-    std::unique_ptr<peer_table> roster;
+    std::unique_ptr<peer_table> table;
     daemon_record record;
     time_point next_round{};
     bool is_up = true;
@@ -77,13 +85,13 @@
     size_t from = 0;
     size_t to = 0;
     uint64_t incarnation = 0;
-    heartbeat_frame beat;
+    heartbeat_frame heartbeat;
   };
 
   void Start(size_t number, uint64_t incarnation);
   void BeginRound(size_t number);
   void Send(size_t from, const endpoint& to);
-  duration Delay();
+  duration NextDelay();
   static std::string NameOf(size_t number);
   static endpoint AddressOf(size_t number);
 
@@ -93,13 +101,14 @@
   std::map<endpoint, size_t> by_address_;
   std::multimap<time_point, size_t> rounds_;
   std::multimap<time_point, delivery> deliveries_;
-  /// Until when each connection delivers what was sent on it.
+  /// When each connection, from one host to another, delivers what was sent on
+  /// it last.
   std::map<std::pair<size_t, size_t>, time_point> busy_until_;
-  std::function<bool(size_t, size_t)> is_cut_;
+  std::function<bool(size_t, size_t)> is_partitioned_;
   time_point now_{std::chrono::seconds(1000)};
-  size_t beats_ = 0;
-  size_t member_news_ = 0;
-  size_t most_news_ = 0;
+  size_t heartbeat_count_ = 0;
+  size_t member_update_count_ = 0;
+  size_t max_updates_per_heartbeat_ = 0;
 };
 
 }  // namespace cuminswitch
--- a/unittests/Fleet/peer_table_simulation_test.cc
+++ b/unittests/Fleet/peer_table_simulation_test.cc
@@ -1,4 +1,4 @@
-// Who is held for living, by fleets of many sizes.
+// Failure detection in simulated fleets of several sizes.
 #include "peer_table_simulation.h"
 
 #include <gtest/gtest.h>
@@ -18,67 +18,70 @@
 constexpr size_t kSizes[] = {30, 100, 300, 1000};
 #endif
 
-/// Long enough for all to choose who watches them.
+/// Long enough for all hosts to choose their monitors.
 constexpr duration kSettleTime = milliseconds(700);
 
-/// How long until \p part of those that are up hold \p host for gone, at most
-/// ten seconds.
+/// Runs until \p share of the \p up hosts regard \p host as failed, for at most
+/// ten seconds; returns how long that took.
 duration TimeUntilMissing(peer_table_simulation& fleet,
                           size_t host,
                           size_t up,
-                          double part) {
+                          double share) {
   const time_point begin = fleet.now();
   while (static_cast<double>(fleet.CountMissing(host)) <
-             part * static_cast<double>(up) &&
+             share * static_cast<double>(up) &&
          fleet.now() - begin < seconds(10)) {
     fleet.Run(milliseconds(20));
   }
   return fleet.now() - begin;
 }
 
-// Callers are sent to a host that is gone for 23 s in a fleet of a thousand:
-// each peer was heard in its turn, and a turn grows with the fleet.
-TEST(peer_table_simulation_test, ADeadHostIsKnownSoonWhateverTheFleetsSize) {
+// Guards against callers being sent to a failed host for long: that was 23 s in
+// a fleet of 1,000 hosts when each peer was contacted in rotation only, which
+// takes longer the larger the fleet is.
+TEST(peer_table_simulation_test, DetectsAFailedHostSoonInFleetsOfAnySize) {
   for (const size_t hosts : kSizes) {
     peer_table_simulation fleet({.hosts = hosts});
     fleet.Run(kSettleTime);
     ASSERT_EQ(fleet.CountMissing(7), 0U) << hosts;
-    const size_t beats = fleet.beats();
+    const size_t heartbeats = fleet.heartbeat_count();
     fleet.Kill(7);
-    const duration middle = TimeUntilMissing(fleet, 7, hosts - 1, 0.5);
-    const duration most = middle + TimeUntilMissing(fleet, 7, hosts - 1, 0.99);
-    const duration all = most + TimeUntilMissing(fleet, 7, hosts - 1, 1);
-    const double rate = static_cast<double>(fleet.beats() - beats) /
-                        static_cast<double>(hosts) / ToSeconds(all);
+    const duration half = TimeUntilMissing(fleet, 7, hosts - 1, 0.5);
+    const duration nearly_all =
+        half + TimeUntilMissing(fleet, 7, hosts - 1, 0.99);
+    const duration all = nearly_all + TimeUntilMissing(fleet, 7, hosts - 1, 1);
+    const double rate =
+        static_cast<double>(fleet.heartbeat_count() - heartbeats) /
+        static_cast<double>(hosts) / ToSeconds(all);
     std::printf(
-        "%5zu hosts: half know after %.2f s, 99%% %.2f, all %.2f; "
-        "%.0f beats/s each\n",
-        hosts, ToSeconds(middle), ToSeconds(most), ToSeconds(all), rate);
+        "%5zu hosts: failure detected by half after %.2f s, by 99%% after "
+        "%.2f s, by all after %.2f s; %.0f heartbeats/s each\n",
+        hosts, ToSeconds(half), ToSeconds(nearly_all), ToSeconds(all), rate);
     EXPECT_LE(all, milliseconds(1500)) << hosts;
     EXPECT_LE(rate, 180) << hosts;
   }
 }
 
-TEST(peer_table_simulation_test, HalfOfTheFleetDiesAtOnce) {
+TEST(peer_table_simulation_test, DetectsTheFailureOfHalfOfTheFleet) {
   constexpr size_t kHosts = 300;
   peer_table_simulation fleet({.hosts = kHosts});
   fleet.Run(kSettleTime);
   for (size_t i = 0; i < kHosts / 2; ++i) {
     fleet.Kill(i);
   }
-  // Those whose watchers died too are noticed by the next ones in turn.
+  // Hosts whose monitors failed as well are adopted by their next neighbors.
   fleet.Run(seconds(5));
-  size_t held = 0;
+  size_t still_alive = 0;
   for (size_t i = 0; i < kHosts / 2; ++i) {
-    held += kHosts / 2 - fleet.CountMissing(i);
+    still_alive += kHosts / 2 - fleet.CountMissing(i);
   }
-  EXPECT_EQ(held, 0U);
-  EXPECT_EQ(fleet.CountUnseen(), 0U);
+  EXPECT_EQ(still_alive, 0U);
+  EXPECT_EQ(fleet.CountUnseenPairs(), 0U);
 }
 
-// Sound hosts are taken out of the answers, and lose what they own, where links
-// lose packets.
-TEST(peer_table_simulation_test, ALossyLinkIsNoDeath) {
+// Guards against hosts that work being dropped from the replies to address
+// queries, and losing what they own, where links lose packets.
+TEST(peer_table_simulation_test, KeepsHostsAliveOnLossyLinks) {
   constexpr size_t kHosts = 100;
   for (const double loss : {0.01, 0.05, 0.2}) {
     peer_table_simulation fleet({.hosts = kHosts, .loss = loss});
@@ -87,34 +90,35 @@
     constexpr size_t kLooks = 50;
     for (size_t i = 0; i < kLooks; ++i) {
       fleet.Run(milliseconds(100));
-      unseen += fleet.CountUnseen();
+      unseen += fleet.CountUnseenPairs();
     }
-    const double part = static_cast<double>(unseen) / kLooks / kHosts / kHosts;
-    std::printf("%.0f%% loss: %.5f of the pairs unseen\n", 100 * loss, part);
-    EXPECT_LE(part, loss < 0.1 ? 0.0 : 0.01) << loss;
+    const double share = static_cast<double>(unseen) / kLooks / kHosts / kHosts;
+    std::printf("%.0f%% loss: %.5f of the pairs not seen alive\n", 100 * loss,
+                share);
+    EXPECT_LE(share, loss < 0.1 ? 0.0 : 0.01) << loss;
   }
 }
 
-TEST(peer_table_simulation_test, ADomainThatIsCutOffIsBackSoonAfter) {
+TEST(peer_table_simulation_test, RecoversSoonFromAPartitionOfADomain) {
   constexpr size_t kHosts = 120;
   peer_table_simulation fleet({.hosts = kHosts});
   fleet.Run(kSettleTime);
-  fleet.SetCut([&](size_t a, size_t b) {
+  fleet.SetPartition([&](size_t a, size_t b) {
     return (fleet.DomainOf(a) == 0) != (fleet.DomainOf(b) == 0);
   });
   fleet.Run(seconds(4));
-  EXPECT_FALSE(fleet.Sees(1, 0));
-  EXPECT_FALSE(fleet.Sees(0, 1));
-  EXPECT_TRUE(fleet.Sees(1, 2));
-  EXPECT_TRUE(fleet.Sees(0, 6));
-  fleet.SetCut(nullptr);
+  EXPECT_FALSE(fleet.SeesAlive(1, 0));
+  EXPECT_FALSE(fleet.SeesAlive(0, 1));
+  EXPECT_TRUE(fleet.SeesAlive(1, 2));
+  EXPECT_TRUE(fleet.SeesAlive(0, 6));
+  fleet.SetPartition(nullptr);
   fleet.Run(seconds(3));
-  EXPECT_EQ(fleet.CountUnseen(), 0U);
+  EXPECT_EQ(fleet.CountUnseenPairs(), 0U);
 }
 
-// A host that was suspended takes all others for gone when it wakes, and they
-// hold it for gone although it works again.
-TEST(peer_table_simulation_test, AHostThatFrozeIsBackSoonAfterItWakes) {
+// Guards against a host that was suspended regarding all others as failed when
+// it wakes, and against them regarding it as failed although it works again.
+TEST(peer_table_simulation_test, RecoversSoonFromTheSuspensionOfAHost) {
   constexpr size_t kHosts = 300;
   peer_table_simulation fleet({.hosts = kHosts});
   fleet.Run(kSettleTime);
@@ -123,10 +127,10 @@
   EXPECT_EQ(fleet.CountMissing(5), kHosts - 1);
   fleet.Wake(5);
   fleet.Run(seconds(1));
-  EXPECT_EQ(fleet.CountUnseen(), 0U);
+  EXPECT_EQ(fleet.CountUnseenPairs(), 0U);
 }
 
-TEST(peer_table_simulation_test, ARestartAndALeaveAreKnownSoon) {
+TEST(peer_table_simulation_test, PropagatesARestartAndALeaveSoon) {
   for (const size_t hosts : {30, 300}) {
     peer_table_simulation fleet({.hosts = hosts});
     fleet.Run(kSettleTime);
@@ -142,21 +146,22 @@
   }
 }
 
-// What others are told of members grows with the fleet, and fills the links of
-// a fleet that starts.
-TEST(peer_table_simulation_test, NewsOfMembersAreBounded) {
+// Guards against member updates that grow with the fleet and fill the links
+// while it starts.
+TEST(peer_table_simulation_test, BoundsTheMemberUpdates) {
   constexpr size_t kHosts = 300;
   peer_table_simulation fleet({.hosts = kHosts, .is_acquainted = false});
-  // Whoever missed a piece of news is told in turn.
+  // Hosts that missed an update get the record later, in rotation.
   fleet.Run(seconds(5));
-  EXPECT_EQ(fleet.CountUnseen(), 0U);
-  EXPECT_LE(fleet.most_news_in_a_beat(), 49U);
+  EXPECT_EQ(fleet.CountUnseenPairs(), 0U);
+  EXPECT_LE(fleet.max_updates_per_heartbeat(), 49U);
   fleet.Run(seconds(2));
-  const size_t news = fleet.member_news_count();
-  const size_t beats = fleet.beats();
+  const size_t updates = fleet.member_update_count();
+  const size_t heartbeats = fleet.heartbeat_count();
   fleet.Run(seconds(2));
-  EXPECT_LE(fleet.member_news_count() - news, fleet.beats() - beats)
-      << "in a fleet at rest";
+  EXPECT_LE(fleet.member_update_count() - updates,
+            fleet.heartbeat_count() - heartbeats)
+      << "in a fleet without changes";
 }
 
 }  // namespace
--- a/unittests/Fleet/peer_table_test.cc
+++ b/unittests/Fleet/peer_table_test.cc
@@ -1,10 +1,9 @@
-// Who lives, and whom to tell.
+// Which peers are alive, and which of them to contact.
 #include "cuminswitch/Fleet/peer_table.h"
 
 #include <gtest/gtest.h>
 
 #include <map>
-
 #include <set>
 #include <string>
 
@@ -17,7 +16,7 @@
   return {.address = "10.0.0." + std::to_string(number), .port = 1};
 }
 
-heartbeat_frame BeatOf(const std::string& name, int number) {
+heartbeat_frame MakeHeartbeat(const std::string& name, int number) {
   return {.sender = {.name = name,
                      .incarnation = 1,
                      .peer_address = Address(number),
@@ -29,146 +28,146 @@
           .prefixes = {}};
 }
 
-peer_table MakeRoster(std::vector<endpoint> seeds = {}) {
+peer_table MakeTable(std::vector<endpoint> seeds = {}) {
   return peer_table({.self_name = "self",
                      .self_address = Address(1),
                      .seeds = std::move(seeds)});
 }
 
-// Symptom: callers are sent to a host that is gone.
-TEST(peer_table_test, ASilentPeerIsOutWithinASecond) {
-  peer_table roster = MakeRoster();
-  EXPECT_TRUE(roster.OnHeartbeat(kStart, BeatOf("a", 2)));
-  EXPECT_EQ(roster.ListAlive(kStart).size(), 1U);
-  EXPECT_EQ(roster.ListAlive(kStart + std::chrono::milliseconds(700)).size(),
+// Guards against callers being sent to a host that has failed.
+TEST(peer_table_test, DropsAPeerWithoutHeartbeatsWithinASecond) {
+  peer_table table = MakeTable();
+  EXPECT_TRUE(table.OnHeartbeat(kStart, MakeHeartbeat("a", 2)));
+  EXPECT_EQ(table.ListAlive(kStart).size(), 1U);
+  EXPECT_EQ(table.ListAlive(kStart + std::chrono::milliseconds(700)).size(),
             1U);
-  EXPECT_TRUE(roster.ListAlive(kStart + std::chrono::seconds(1)).empty());
+  EXPECT_TRUE(table.ListAlive(kStart + std::chrono::seconds(1)).empty());
 }
 
-TEST(peer_table_test, TellsNewsFromRepetition) {
-  peer_table roster = MakeRoster();
-  EXPECT_TRUE(roster.OnHeartbeat(kStart, BeatOf("a", 2)));
-  EXPECT_FALSE(roster.OnHeartbeat(kStart, BeatOf("a", 2)));
-  heartbeat_frame leaving = BeatOf("a", 2);
+TEST(peer_table_test, ReportsOnlyAChangedRecordAsChange) {
+  peer_table table = MakeTable();
+  EXPECT_TRUE(table.OnHeartbeat(kStart, MakeHeartbeat("a", 2)));
+  EXPECT_FALSE(table.OnHeartbeat(kStart, MakeHeartbeat("a", 2)));
+  heartbeat_frame leaving = MakeHeartbeat("a", 2);
   leaving.sender.is_leaving = true;
-  EXPECT_TRUE(roster.OnHeartbeat(kStart, leaving));
+  EXPECT_TRUE(table.OnHeartbeat(kStart, leaving));
 }
 
-// Symptom: a restarted daemon is taken for leaving.
-// Sequence: its first start says that it leaves; the second start beats; a late
-// beat of the first start arrives.
-TEST(peer_table_test, ABeatOfAnEarlierStartCountsNothing) {
-  peer_table roster = MakeRoster();
-  heartbeat_frame now = BeatOf("a", 2);
-  now.sender.incarnation = 2;
-  roster.OnHeartbeat(kStart, now);
-  heartbeat_frame late = BeatOf("a", 2);
+// Guards against a restarted daemon being taken for leaving: its first
+// incarnation sends that it leaves, the second one sends a heartbeat, and then
+// a delayed heartbeat of the first one arrives.
+TEST(peer_table_test, IgnoresAHeartbeatOfAnEarlierIncarnation) {
+  peer_table table = MakeTable();
+  heartbeat_frame current = MakeHeartbeat("a", 2);
+  current.sender.incarnation = 2;
+  table.OnHeartbeat(kStart, current);
+  heartbeat_frame late = MakeHeartbeat("a", 2);
   late.sender.is_leaving = true;
-  EXPECT_FALSE(roster.OnHeartbeat(kStart, late));
-  EXPECT_FALSE(roster.ListAlive(kStart)[0].is_leaving);
+  EXPECT_FALSE(table.OnHeartbeat(kStart, late));
+  EXPECT_FALSE(table.ListAlive(kStart)[0].is_leaving);
 }
 
-TEST(peer_table_test, FindsPeersThroughSeedsAndPeers) {
-  peer_table roster = MakeRoster({Address(2)});
-  EXPECT_EQ(roster.ChooseTargets(kStart), std::vector{Address(2)});
-  heartbeat_frame beat = BeatOf("b", 2);
-  beat.recent_peers = {Address(1), Address(3)};
-  roster.OnHeartbeat(kStart, beat);
-  const std::vector<endpoint> targets = roster.ChooseTargets(kStart);
+TEST(peer_table_test, FindsPeersFromSeedsAndAdvertisedAddresses) {
+  peer_table table = MakeTable({Address(2)});
+  EXPECT_EQ(table.ChooseTargets(kStart), std::vector{Address(2)});
+  heartbeat_frame heartbeat = MakeHeartbeat("b", 2);
+  heartbeat.recent_peers = {Address(1), Address(3)};
+  table.OnHeartbeat(kStart, heartbeat);
+  const std::vector<endpoint> targets = table.ChooseTargets(kStart);
   EXPECT_EQ(std::set<endpoint>(targets.begin(), targets.end()),
             (std::set{Address(2), Address(3)}));
 }
 
-TEST(peer_table_test, ASilentAddressIsTriedRarely) {
-  peer_table roster = MakeRoster({Address(2)});
+TEST(peer_table_test, ContactsAnUnresponsiveAddressRarely) {
+  peer_table table = MakeTable({Address(2)});
   int tries = 0;
   for (int i = 0; i < 40; ++i) {
     tries += static_cast<int>(
-        roster.ChooseTargets(kStart + i * std::chrono::milliseconds(100))
+        table.ChooseTargets(kStart + i * std::chrono::milliseconds(100))
             .size());
   }
   EXPECT_EQ(tries, 4);
 }
 
-TEST(peer_table_test, TheCostOfARoundIsBoundedAndEverybodyIsReached) {
+TEST(peer_table_test, BoundsARoundAndReachesAllAddressesInRotation) {
   std::vector<endpoint> seeds;
   for (int i = 2; i < 102; ++i) {
     seeds.push_back(Address(i));
   }
-  peer_table roster = MakeRoster(seeds);
+  peer_table table = MakeTable(seeds);
   std::set<endpoint> reached;
   for (int i = 0; i < 7; ++i) {
-    const auto targets = roster.ChooseTargets(kStart);
+    const auto targets = table.ChooseTargets(kStart);
     EXPECT_LE(targets.size(), 16U);
     reached.insert(targets.begin(), targets.end());
   }
   EXPECT_EQ(reached.size(), 100U);
 }
 
-// Symptom: in a large fleet one daemon's link is full, and most of the bytes
-// between failure domains are its.
-// Sequence: 300 daemons start; eight of them, two a failure domain, follow the
-// store; the others ask a peer that is ahead for all 3,000 upstreams.
-// Cause: all asked the one peer that knew most, wherever it was.
-TEST(peer_table_test, QuestionsAreSpreadOverTheFollowersOfTheDomain) {
+// Guards against one daemon's link being full in a large fleet, with most of
+// the traffic between failure domains. 300 daemons start, of which eight, two
+// per failure domain, follow the store; the others request all 3,000 upstreams
+// from a peer with newer items. It happened when all of them chose the peer
+// with the newest items, in whichever domain it was.
+TEST(peer_table_test, SpreadsItemsRequestsOverTheFollowersOfTheDomain) {
   constexpr int kDaemons = 300;
   constexpr int kDomains = 4;
   constexpr int kFollowers = 8;
   const auto domain_of = [](int i) {
     return "zone" + std::to_string(i % kDomains);
   };
-  std::map<std::string, int> asked;
+  std::map<std::string, int> receivers;
   int across = 0;
   for (int self = kFollowers; self < kDaemons; ++self) {
-    peer_table roster({.self_name = "d" + std::to_string(self),
-                       .self_address = {"10.0.0.1", 1},
-                       .self_domain = domain_of(self),
-                       .seeds = {}});
+    peer_table table({.self_name = "d" + std::to_string(self),
+                      .self_address = {"10.0.0.1", 1},
+                      .self_domain = domain_of(self),
+                      .seeds = {}});
     for (int i = 0; i < kFollowers + 2; ++i) {
-      heartbeat_frame beat = BeatOf("d" + std::to_string(i), i + 2);
-      beat.sender.failure_domain = domain_of(i);
-      beat.sender.has_store = i < kFollowers;
-      beat.sender.revision = 100 + i;
-      roster.OnHeartbeat(kStart, beat);
+      heartbeat_frame heartbeat = MakeHeartbeat("d" + std::to_string(i), i + 2);
+      heartbeat.sender.failure_domain = domain_of(i);
+      heartbeat.sender.has_store = i < kFollowers;
+      heartbeat.sender.revision = 100 + i;
+      table.OnHeartbeat(kStart, heartbeat);
     }
-    const daemon_record* ahead = roster.FindAhead(kStart, 5, 0);
+    const daemon_record* ahead = table.FindAhead(kStart, 5, 0);
     ASSERT_NE(ahead, nullptr);
-    ++asked[ahead->name];
+    ++receivers[ahead->name];
     across += ahead->failure_domain == domain_of(self) ? 0 : 1;
   }
   EXPECT_EQ(across, 0);
-  ASSERT_EQ(asked.size(), kFollowers);
-  for (const auto& [name, count] : asked) {
-    EXPECT_LT(count, 60) << name << " (the fair part is 36)";
+  ASSERT_EQ(receivers.size(), kFollowers);
+  for (const auto& [name, count] : receivers) {
+    EXPECT_LT(count, 60) << name << " (the even share is 36)";
   }
 }
 
-// Symptom: a daemon learns nothing for seconds.
-// Sequence: the peer that it asks has lost the way to it.
-TEST(peer_table_test, AnotherPeerIsAskedNextTime) {
-  peer_table roster = MakeRoster();
+// Guards against a daemon getting no items for seconds when the peer from which
+// it requests them cannot reach it.
+TEST(peer_table_test, ChoosesAnotherPeerForTheNextRequest) {
+  peer_table table = MakeTable();
   for (const char* name : {"a", "b", "c", "d"}) {
-    heartbeat_frame beat = BeatOf(name, 2 + (name[0] - 'a'));
-    beat.sender.revision = 5;
-    roster.OnHeartbeat(kStart, beat);
+    heartbeat_frame heartbeat = MakeHeartbeat(name, 2 + (name[0] - 'a'));
+    heartbeat.sender.revision = 5;
+    table.OnHeartbeat(kStart, heartbeat);
   }
-  std::set<std::string> asked;
-  for (uint64_t turn = 0; turn < 20; ++turn) {
-    asked.insert(roster.FindAhead(kStart, 1, turn)->name);
+  std::set<std::string> receivers;
+  for (uint64_t number = 0; number < 20; ++number) {
+    receivers.insert(table.FindAhead(kStart, 1, number)->name);
   }
-  EXPECT_EQ(asked.size(), 4U);
+  EXPECT_EQ(receivers.size(), 4U);
 }
 
-TEST(peer_table_test, FindsAPeerThatKnowsMore) {
-  peer_table roster = MakeRoster();
-  heartbeat_frame a = BeatOf("a", 2);
+TEST(peer_table_test, FindsAPeerWithNewerItems) {
+  peer_table table = MakeTable();
+  heartbeat_frame a = MakeHeartbeat("a", 2);
   a.sender.revision = 5;
-  heartbeat_frame b = BeatOf("b", 3);
+  heartbeat_frame b = MakeHeartbeat("b", 3);
   b.sender.revision = 8;
-  roster.OnHeartbeat(kStart, a);
-  roster.OnHeartbeat(kStart, b);
-  EXPECT_EQ(roster.FindAhead(kStart, 5, 0)->name, "b");
-  EXPECT_EQ(roster.FindAhead(kStart, 8, 0), nullptr);
+  table.OnHeartbeat(kStart, a);
+  table.OnHeartbeat(kStart, b);
+  EXPECT_EQ(table.FindAhead(kStart, 5, 0)->name, "b");
+  EXPECT_EQ(table.FindAhead(kStart, 8, 0), nullptr);
 }
 
 }  // namespace
