--- a/include/cuminswitch/Fleet/crash_update_queue.h
+++ b/include/cuminswitch/Fleet/crash_update_queue.h
@@ -1,5 +1,5 @@
 /// \file
-/// What each beat tells of requests that may crash upstreams.
+/// Queue of the crash and completion reports that heartbeats carry.
 #ifndef CUMINSWITCH_FLEET_CRASH_UPDATE_QUEUE_H_
 #define CUMINSWITCH_FLEET_CRASH_UPDATE_QUEUE_H_
 
@@ -14,38 +14,43 @@
 
 namespace cuminswitch {
 
-/// Tells each peer every news once, and what stands now and then: a peer may
-/// have missed news, or have started since. Each beat would otherwise carry the
-/// news of a great crash to all peers, over links that requests need.
+/// Sends each report to each peer once, and repeats the active crashes from
+/// time to time, for a peer that missed a report or started later. If each
+/// heartbeat carried all reports, those of a crash with many requests
+/// in flight would take up links that requests need.
 class crash_update_queue {
  public:
   void Add(const own_quarantine& own);
-  /// Tells on what a peer told, unless it was told on before.
-  void Relay(time_point now, const quarantine_update& told);
-  /// What the next beat to \p peer tells.
+  /// Queues the reports that a peer sent, except those that were relayed
+  /// before.
+  void Relay(time_point now, const quarantine_update& received);
+  /// Returns the reports for the next heartbeat to \p peer, with their ages at
+  /// \p now, and counts them as sent.
   quarantine_update TakeFor(time_point now, const endpoint& peer);
 
  private:
-  /// News, with when their age was taken.
-  template <class News>
-  struct dated {
-    News news;
+  /// A report with the time as of which its age is.
+  template <class Report>
+  struct timed {
+    Report report;
     time_point at{};
   };
   static constexpr size_t kCapacity = 64;
 
-  /// Notes that something of \p request at \p upstream (0 for none), of \p at,
-  /// is told on; returns whether that is new.
+  /// Records that a report on \p request at \p upstream (0 for none) of the
+  /// time \p at is relayed. Returns false where it was relayed before, or where
+  /// too many were relayed recently.
   bool NoteRelayed(const hash128& request, uint64_t upstream, time_point at);
 
-  peer_update_log<dated<crash_report>, kCapacity> crashes_;
-  peer_update_log<dated<completion_report>, kCapacity> completions_;
-  /// When what was told on last happened, by request and upstream.
+  peer_update_log<timed<crash_report>, kCapacity> crashes_;
+  peer_update_log<timed<completion_report>, kCapacity> completions_;
+  /// Time of the event last relayed, by request and upstream.
   std::map<std::pair<hash128, uint64_t>, time_point> relayed_;
-  std::vector<crash_report> standing_;
-  time_point standing_at_{};
-  /// When each peer was last told what stands.
-  std::map<endpoint, time_point> told_standing_;
+  /// Active crashes of this daemon, with ages as of `active_at_`.
+  std::vector<crash_report> active_;
+  time_point active_at_{};
+  /// When the active crashes were last sent to each peer.
+  std::map<endpoint, time_point> active_sent_at_;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Fleet/member_update_queue.h
+++ b/include/cuminswitch/Fleet/member_update_queue.h
@@ -1,5 +1,5 @@
 /// \file
-/// News of members that go from daemon to daemon.
+/// Queue of the member updates that a daemon gossips.
 #ifndef CUMINSWITCH_FLEET_MEMBER_UPDATE_QUEUE_H_
 #define CUMINSWITCH_FLEET_MEMBER_UPDATE_QUEUE_H_
 
@@ -14,35 +14,37 @@
 
 namespace cuminswitch {
 
-/// Keeps what this daemon has just learnt of members until it was told a few
-/// times. Each daemon that learns something tells others of it, so that news
-/// reach a fleet of any size within a few rounds of beats, at a cost that does
-/// not depend on the size.
+/// Holds the member updates that this daemon received or made, one per member,
+/// until each was sent a fixed number of times. Each daemon that receives an
+/// update sends it on, so that it reaches a fleet of any size within a few
+/// heartbeat rounds, at a cost per daemon that does not depend on the size.
 class member_update_queue {
  public:
-  /// Times that one daemon tells of a member that serves. With sixteen, one
-  /// daemon in nine million hears nothing of it at first, and is told in turn.
+  /// Times that one daemon sends an update of a member that serves. With 16,
+  /// one daemon in nine million misses the update at first, and gets the record
+  /// later, when `TakeMemberUpdates` comes to it.
   static constexpr size_t kSendCount = 16;
-  /// Times that one daemon tells of a member that is suspected or leaves.
-  /// Callers must not be sent there. Half of those that are told may have died
-  /// with it.
+  /// Times that one daemon sends an update of a member that is suspected or
+  /// leaves. It has to reach all daemons, since callers must not be sent there,
+  /// and half of the receivers may have failed together with the member.
   static constexpr size_t kDepartureSendCount = 24;
 
-  /// Takes in \p news in place of what is kept of that member.
-  void Add(const member_update& news);
-  /// Returns up to \p count for one beat, those told least first.
+  /// Queues \p update in place of an earlier one of that member.
+  void Add(const member_update& update);
+  /// Returns up to \p count updates for one heartbeat, those sent least often
+  /// first, and counts them as sent.
   std::vector<member_update> Take(size_t count);
-  bool IsEmpty() const { return kept_.empty(); }
+  bool IsEmpty() const { return updates_.empty(); }
 
  private:
-  struct kept_news {
-    member_update news;
-    size_t tellings = 0;
+  struct queued_update {
+    member_update update;
+    size_t send_count = 0;
   };
 
-  std::map<std::string, kept_news> kept_;
-  /// The names in `kept_` by how often each was told.
-  std::set<std::pair<size_t, std::string>> order_;
+  std::map<std::string, queued_update> updates_;
+  /// The names in `updates_` by how often each update was sent.
+  std::set<std::pair<size_t, std::string>> by_send_count_;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Fleet/packed_bytes.h
+++ b/include/cuminswitch/Fleet/packed_bytes.h
@@ -11,16 +11,18 @@
 
 namespace cuminswitch {
 
-/// Unpacked bytes taken at most. The list of a fleet of 3,000 upstreams is
-/// about a megabyte; a frame that claims 32 times that is damaged.
+/// Maximum size of unpacked data, in bytes. The list of a fleet of 3,000
+/// upstreams is about a megabyte; a frame that claims more than 32 is damaged.
 inline constexpr size_t kMaxUnpackedSize = size_t{32} << 20;
 
-/// Returns \p bytes compressed. Lists of items repeat the same names in each
-/// item, and shrink to a fifth or less.
+/// Returns \p bytes compressed by zlib, or an empty vector where that fails.
+/// Lists of items repeat the same names in each item, and shrink to a fifth or
+/// less.
 std::vector<uint8_t> PackBytes(std::span<const uint8_t> bytes);
 
-/// Returns what `PackBytes` was given, of \p size bytes; nothing where the
-/// bytes are damaged, or \p size is not theirs or over `kMaxUnpackedSize`.
+/// Returns the data that `PackBytes` compressed to \p packed. Returns
+/// `std::nullopt` where \p packed is damaged, or \p size is not the size of the
+/// data in bytes or exceeds `kMaxUnpackedSize`.
 std::optional<std::vector<uint8_t>> UnpackBytes(std::span<const uint8_t> packed,
                                                 size_t size);
 
--- a/include/cuminswitch/Fleet/peer_update_log.h
+++ b/include/cuminswitch/Fleet/peer_update_log.h
@@ -1,5 +1,5 @@
 /// \file
-/// What each peer is still to be told.
+/// Log of updates with a cursor for each peer.
 #ifndef CUMINSWITCH_FLEET_PEER_UPDATE_LOG_H_
 #define CUMINSWITCH_FLEET_PEER_UPDATE_LOG_H_
 
@@ -14,48 +14,52 @@
 
 namespace cuminswitch {
 
-/// Keeps this daemon's latest news of one kind, and for each peer how far it
-/// was told. A large fleet is told in turns, over several rounds; with only the
-/// latest round's news in each beat, a peer would learn one in four. Keeps, and
-/// so tells in one frame, at most \p Capacity.
+/// Holds this daemon's latest updates of one kind, at most \p Capacity of them,
+/// and for each peer up to which one they were sent. In a large fleet one peer
+/// gets a heartbeat only every few rounds; if heartbeats carried only the
+/// updates of their own round, a peer would get one in four. \p Capacity also
+/// bounds the updates in one frame.
 template <class Item, size_t Capacity>
 class peer_update_log {
  public:
   static constexpr size_t kCapacity = Capacity;
 
   void Add(std::span<const Item> items) {
-    kept_.insert(kept_.end(), items.begin(), items.end());
-    if (kept_.size() <= kCapacity) {
+    items_.insert(items_.end(), items.begin(), items.end());
+    if (items_.size() <= kCapacity) {
       return;
     }
-    const size_t excess = kept_.size() - kCapacity;
-    kept_.erase(kept_.begin(),
-                kept_.begin() + static_cast<std::ptrdiff_t>(excess));
-    first_ += excess;
-    std::erase_if(told_,
-                  [&](const auto& item) { return item.second <= first_; });
+    const size_t excess = items_.size() - kCapacity;
+    items_.erase(items_.begin(),
+                 items_.begin() + static_cast<std::ptrdiff_t>(excess));
+    first_number_ += excess;
+    std::erase_if(cursors_, [&](const auto& item) {
+      return item.second <= first_number_;
+    });
   }
 
-  /// Returns what \p peer was not told yet, and counts it as told.
+  /// Returns the items that were not sent to \p peer yet, and counts them as
+  /// sent.
   std::vector<Item> TakeFor(const endpoint& peer) {
-    const uint64_t end = first_ + kept_.size();
-    const auto found = told_.find(peer);
-    const uint64_t from = found == told_.end() ? first_ : found->second;
+    const uint64_t end = first_number_ + items_.size();
+    const auto found = cursors_.find(peer);
+    const uint64_t from =
+        found == cursors_.end() ? first_number_ : found->second;
     if (from == end) {
       return {};
     }
-    told_[peer] = end;
-    return {kept_.begin() + static_cast<std::ptrdiff_t>(from - first_),
-            kept_.end()};
+    cursors_[peer] = end;
+    return {items_.begin() + static_cast<std::ptrdiff_t>(from - first_number_),
+            items_.end()};
   }
 
  private:
-  std::deque<Item> kept_;
-  /// Number of the first one that is kept.
-  uint64_t first_ = 0;
-  /// The number up to which each peer was told. One that was told nothing of
-  /// what is kept has no entry.
-  std::map<endpoint, uint64_t> told_;
+  std::deque<Item> items_;
+  /// Number of the first item in `items_`; items are numbered from 0 on.
+  uint64_t first_number_ = 0;
+  /// For each peer, the number after the last item that was sent to it. A peer
+  /// that got none of those in `items_` has no entry.
+  std::map<endpoint, uint64_t> cursors_;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Fleet/quarantine_records.h
+++ b/include/cuminswitch/Fleet/quarantine_records.h
@@ -1,5 +1,5 @@
 /// \file
-/// The store's list of requests that are kept away from upstreams.
+/// Records of quarantined requests in the store.
 #ifndef CUMINSWITCH_FLEET_QUARANTINE_RECORDS_H_
 #define CUMINSWITCH_FLEET_QUARANTINE_RECORDS_H_
 
@@ -14,14 +14,15 @@
 namespace cuminswitch {
 
 /// Writes quarantined requests to the store, each under a lease that ends with
-/// its quarantine. Daemons that start learn them from there; where all were
-/// killed at once, nobody else could tell them.
+/// its quarantine. Daemons read them when they start: after all daemons were
+/// killed at once, there is no peer that could report them.
 class quarantine_records {
  public:
   struct options {
-    /// Keys are this and the request's digest.
+    /// Prefix of the keys; the request's digest in hexadecimal follows it.
     std::string prefix;
-    /// The value, for who reads the store.
+    /// The value of the entries: who wrote them, for operators who read the
+    /// store.
     std::string author;
   };
 
@@ -30,20 +31,22 @@
   quarantine_records& operator=(const quarantine_records&) = delete;
   ~quarantine_records();
 
-  /// Begins to write one of \p wanted that is not among \p stored, if any.
+  /// Starts writing the first of \p wanted that is not among \p stored, if
+  /// there is one and no other write is in progress.
   void OnTick(time_point now,
               std::span<const quarantine_record> wanted,
               std::span<const hash128> stored);
 
  private:
   void Write(const hash128& request, duration time_left);
-  void OnLease(const hash128& request, const store_lease& answer);
+  void OnLease(const hash128& request, const store_lease& granted);
 
   options options_;
   item_store& store_;
-  /// When each may be written again: the list lags behind the write.
+  /// When each request may be written again: a written one appears among the
+  /// stored ones only some time later.
   std::map<hash128, time_point> next_write_;
-  bool is_calling_ = false;
+  bool is_writing_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/lib/Fleet/crash_update_queue.cc
+++ b/lib/Fleet/crash_update_queue.cc
@@ -4,66 +4,69 @@
 
 namespace cuminswitch {
 
-/// Between two times at which a peer is told what stands.
-static constexpr duration kStandingInterval = std::chrono::milliseconds(1500);
-/// What is remembered of news that were told on: for so long, and so many.
-static constexpr duration kRelayedTime = std::chrono::seconds(10);
-static constexpr size_t kMostRelayed = 512;
-/// Two news of one request and upstream that are closer are one.
-static constexpr duration kSameTime = std::chrono::seconds(1);
+/// Time between two heartbeats to a peer that carry the active crashes.
+static constexpr duration kActiveResendInterval =
+    std::chrono::milliseconds(1500);
+/// Relayed reports are remembered for this time, and at most so many of them.
+static constexpr duration kRelayedRetention = std::chrono::seconds(10);
+static constexpr size_t kMaxRelayed = 512;
+/// Reports of one request and upstream whose times differ by less are copies of
+/// one report.
+static constexpr duration kDuplicateWindow = std::chrono::seconds(1);
 
 void crash_update_queue::Add(const own_quarantine& own) {
-  std::vector<dated<crash_report>> crashes;
+  std::vector<timed<crash_report>> crashes;
   for (const crash_report& item : own.update.crashes) {
-    crashes.push_back({.news = item, .at = own.at});
+    crashes.push_back({.report = item, .at = own.at});
   }
   crashes_.Add(crashes);
-  std::vector<dated<completion_report>> completions;
+  std::vector<timed<completion_report>> completions;
   for (const completion_report& item : own.update.completions) {
-    completions.push_back({.news = item, .at = own.at});
+    completions.push_back({.report = item, .at = own.at});
   }
   completions_.Add(completions);
-  standing_ = own.active_crashes;
-  standing_at_ = own.at;
+  active_ = own.active_crashes;
+  active_at_ = own.at;
 }
 
 bool crash_update_queue::NoteRelayed(const hash128& request,
                                      uint64_t upstream,
                                      time_point at) {
-  if (relayed_.size() >= kMostRelayed) {
+  if (relayed_.size() >= kMaxRelayed) {
     const time_point newest =
         std::max_element(
             relayed_.begin(), relayed_.end(),
             [](const auto& a, const auto& b) { return a.second < b.second; })
             ->second;
     std::erase_if(relayed_, [&](const auto& item) {
-      return newest - item.second > kRelayedTime;
+      return newest - item.second > kRelayedRetention;
     });
-    if (relayed_.size() >= kMostRelayed) {
+    if (relayed_.size() >= kMaxRelayed) {
       return false;
     }
   }
   const auto [known, is_new] = relayed_.try_emplace({request, upstream}, at);
-  // The same one is of much the same time, wherever it comes from.
-  if (!is_new && at - known->second < kSameTime) {
+  // Copies that came by different peers differ a little in their times.
+  if (!is_new && at - known->second < kDuplicateWindow) {
     return false;
   }
   known->second = at;
   return true;
 }
 
-void crash_update_queue::Relay(time_point now, const quarantine_update& told) {
-  std::vector<dated<crash_report>> crashes;
-  for (const crash_report& item : told.crashes) {
+void crash_update_queue::Relay(time_point now,
+                               const quarantine_update& received) {
+  std::vector<timed<crash_report>> crashes;
+  for (const crash_report& item : received.crashes) {
     if (NoteRelayed(item.request, item.upstream, now - item.age)) {
-      crashes.push_back({.news = item, .at = now});
+      crashes.push_back({.report = item, .at = now});
     }
   }
   crashes_.Add(crashes);
-  std::vector<dated<completion_report>> completions;
-  for (const completion_report& item : told.completions) {
+  std::vector<timed<completion_report>> completions;
+  for (const completion_report& item : received.completions) {
     if (NoteRelayed(item.request, 0, now - item.age)) {
-      completions.push_back({.news = item, .at = now});
+      completions.push_back({.report = item, .at = now});
     }
   }
   completions_.Add(completions);
@@ -71,28 +74,28 @@
 
 quarantine_update crash_update_queue::TakeFor(time_point now,
                                               const endpoint& peer) {
-  quarantine_update news;
-  for (dated<crash_report>& item : crashes_.TakeFor(peer)) {
-    item.news.age += now - item.at;
-    news.crashes.push_back(item.news);
+  quarantine_update update;
+  for (timed<crash_report>& item : crashes_.TakeFor(peer)) {
+    item.report.age += now - item.at;
+    update.crashes.push_back(item.report);
   }
-  for (dated<completion_report>& item : completions_.TakeFor(peer)) {
-    item.news.age += now - item.at;
-    news.completions.push_back(item.news);
+  for (timed<completion_report>& item : completions_.TakeFor(peer)) {
+    item.report.age += now - item.at;
+    update.completions.push_back(item.report);
   }
-  if (standing_.empty()) {
-    told_standing_.clear();
-    return news;
+  if (active_.empty()) {
+    active_sent_at_.clear();
+    return update;
   }
-  const auto [told, is_first] = told_standing_.try_emplace(peer, now);
-  if (is_first || now - told->second >= kStandingInterval) {
-    told->second = now;
-    for (crash_report item : standing_) {
-      item.age += now - standing_at_;
-      news.crashes.push_back(item);
+  const auto [sent, is_first] = active_sent_at_.try_emplace(peer, now);
+  if (is_first || now - sent->second >= kActiveResendInterval) {
+    sent->second = now;
+    for (crash_report item : active_) {
+      item.age += now - active_at_;
+      update.crashes.push_back(item);
     }
   }
-  return news;
+  return update;
 }
 
 }  // namespace cuminswitch
--- a/lib/Fleet/member_update_queue.cc
+++ b/lib/Fleet/member_update_queue.cc
@@ -2,38 +2,38 @@
 
 namespace cuminswitch {
 
-void member_update_queue::Add(const member_update& news) {
-  const std::string& name = news.record.name;
-  kept_news& kept = kept_[name];
-  order_.erase({kept.tellings, name});
-  kept = {.news = news};
-  order_.emplace(0, name);
+void member_update_queue::Add(const member_update& update) {
+  const std::string& name = update.record.name;
+  queued_update& queued = updates_[name];
+  by_send_count_.erase({queued.send_count, name});
+  queued = {.update = update};
+  by_send_count_.emplace(0, name);
 }
 
 std::vector<member_update> member_update_queue::Take(size_t count) {
   std::vector<std::pair<size_t, std::string>> chosen;
-  for (const auto& item : order_) {
+  for (const auto& item : by_send_count_) {
     if (chosen.size() >= count) {
       break;
     }
     chosen.push_back(item);
   }
-  std::vector<member_update> news;
+  std::vector<member_update> updates;
   for (const auto& item : chosen) {
-    const auto found = kept_.find(item.second);
-    news.push_back(found->second.news);
-    order_.erase(item);
-    const member_update& told = found->second.news;
-    const size_t most = told.is_suspected || told.record.is_leaving
-                            ? kDepartureSendCount
-                            : kSendCount;
-    if (++found->second.tellings < most) {
-      order_.emplace(found->second.tellings, item.second);
+    const auto found = updates_.find(item.second);
+    updates.push_back(found->second.update);
+    by_send_count_.erase(item);
+    const member_update& update = found->second.update;
+    const size_t max_sends = update.is_suspected || update.record.is_leaving
+                                 ? kDepartureSendCount
+                                 : kSendCount;
+    if (++found->second.send_count < max_sends) {
+      by_send_count_.emplace(found->second.send_count, item.second);
     } else {
-      kept_.erase(found);
+      updates_.erase(found);
     }
   }
-  return news;
+  return updates;
 }
 
 }  // namespace cuminswitch
--- a/lib/Fleet/quarantine_records.cc
+++ b/lib/Fleet/quarantine_records.cc
@@ -5,8 +5,8 @@
 
 namespace cuminswitch {
 
-/// A write that failed, or that is not listed yet, is made again after this.
-static constexpr duration kRewriteTime = std::chrono::seconds(2);
+/// Time after which a request is written again that is still not stored.
+static constexpr duration kRetryInterval = std::chrono::seconds(2);
 
 quarantine_records::quarantine_records(options opts, item_store& store)
     : options_(std::move(opts)), store_(store) {}
@@ -20,7 +20,7 @@
                                 std::span<const hash128> stored) {
   std::erase_if(next_write_,
                 [now](const auto& item) { return now >= item.second; });
-  if (is_calling_) {
+  if (is_writing_) {
     return;
   }
   const auto missing =
@@ -30,43 +30,43 @@
                    stored.end();
       });
   if (missing != wanted.end()) {
-    next_write_[missing->request] = now + kRewriteTime;
+    next_write_[missing->request] = now + kRetryInterval;
     Write(missing->request, missing->time_left);
   }
 }
 
 void quarantine_records::Write(const hash128& request, duration time_left) {
-  is_calling_ = true;
+  is_writing_ = true;
   store_.GrantLease(
       std::chrono::duration_cast<std::chrono::milliseconds>(time_left),
-      [this, alive = alive_, request](const store_lease& answer) {
+      [this, alive = alive_, request](const store_lease& granted) {
         if (*alive) {
-          OnLease(request, answer);
+          OnLease(request, granted);
         }
       });
 }
 
 void quarantine_records::OnLease(const hash128& request,
-                                 const store_lease& answer) {
-  if (answer.end != store_status::kDone) {
-    is_calling_ = false;
+                                 const store_lease& granted) {
+  if (granted.end != store_status::kDone) {
+    is_writing_ = false;
     return;
   }
-  store_.Write(
-      {.key = options_.prefix + ToHex(request),
-       .value = options_.author,
-       .expected = 0,
-       .lease = answer.lease},
-      [this, alive = alive_, lease = answer.lease](const store_write& written) {
-        if (!*alive) {
-          return;
-        }
-        is_calling_ = false;
-        if (written.end == store_status::kConflict) {
-          // Another daemon has written it.
-          store_.EndLease(lease);
-        }
-      });
+  store_.Write({.key = options_.prefix + ToHex(request),
+                .value = options_.author,
+                .expected = 0,
+                .lease = granted.lease},
+               [this, alive = alive_,
+                lease = granted.lease](const store_write& written) {
+                 if (!*alive) {
+                   return;
+                 }
+                 is_writing_ = false;
+                 if (written.end == store_status::kConflict) {
+                   // Another daemon has written it.
+                   store_.EndLease(lease);
+                 }
+               });
 }
 
 }  // namespace cuminswitch
--- a/unittests/Fleet/crash_update_queue_test.cc
+++ b/unittests/Fleet/crash_update_queue_test.cc
@@ -1,4 +1,4 @@
-// What each beat tells of requests that may crash upstreams.
+// The crash reports that heartbeats carry.
 #include "cuminswitch/Fleet/crash_update_queue.h"
 
 #include <gtest/gtest.h>
@@ -15,50 +15,50 @@
                               .upstream = 2,
                               .age = seconds(1)};
 
-TEST(crash_update_queue_test, EachPeerIsToldOnceWithTheAgeAtThatTime) {
-  crash_update_queue bulletin;
-  bulletin.Add(
-      {.update = {.crashes = {kCrash}, .completions = {}}, .at = kNow});
-  const auto told = bulletin.TakeFor(kNow + seconds(2), kPeer);
-  ASSERT_EQ(told.crashes.size(), 1U);
-  EXPECT_EQ(told.crashes[0].age, seconds(3));
-  EXPECT_TRUE(bulletin.TakeFor(kNow + seconds(2), kPeer).IsEmpty());
-  EXPECT_EQ(bulletin.TakeFor(kNow + seconds(9), kLatePeer).crashes[0].age,
+TEST(crash_update_queue_test, SendsAReportToEachPeerOnceWithItsCurrentAge) {
+  crash_update_queue queue;
+  queue.Add({.update = {.crashes = {kCrash}, .completions = {}}, .at = kNow});
+  const auto sent = queue.TakeFor(kNow + seconds(2), kPeer);
+  ASSERT_EQ(sent.crashes.size(), 1U);
+  EXPECT_EQ(sent.crashes[0].age, seconds(3));
+  EXPECT_TRUE(queue.TakeFor(kNow + seconds(2), kPeer).IsEmpty());
+  EXPECT_EQ(queue.TakeFor(kNow + seconds(9), kLatePeer).crashes[0].age,
             seconds(10));
 }
 
-// A peer may have missed the news, or have started since.
-TEST(crash_update_queue_test, WhatStandsIsToldAgainNowAndThen) {
-  crash_update_queue bulletin;
-  bulletin.Add({.update = {}, .active_crashes = {kCrash}, .at = kNow});
-  EXPECT_EQ(bulletin.TakeFor(kNow, kPeer).crashes.size(), 1U);
-  EXPECT_TRUE(bulletin.TakeFor(kNow + seconds(1), kPeer).IsEmpty());
-  const auto again = bulletin.TakeFor(kNow + seconds(2), kPeer);
+// A peer may have missed the report, or have started after it was sent.
+TEST(crash_update_queue_test, RepeatsActiveCrashes) {
+  crash_update_queue queue;
+  queue.Add({.update = {}, .active_crashes = {kCrash}, .at = kNow});
+  EXPECT_EQ(queue.TakeFor(kNow, kPeer).crashes.size(), 1U);
+  EXPECT_TRUE(queue.TakeFor(kNow + seconds(1), kPeer).IsEmpty());
+  const auto again = queue.TakeFor(kNow + seconds(2), kPeer);
   ASSERT_EQ(again.crashes.size(), 1U);
   EXPECT_EQ(again.crashes[0].age, seconds(3));
-  bulletin.Add({.update = {}, .active_crashes = {}, .at = kNow + seconds(3)});
-  EXPECT_TRUE(bulletin.TakeFor(kNow + seconds(9), kPeer).IsEmpty());
+  queue.Add({.update = {}, .active_crashes = {}, .at = kNow + seconds(3)});
+  EXPECT_TRUE(queue.TakeFor(kNow + seconds(9), kPeer).IsEmpty());
 }
 
-// In a fleet where a daemon beats only some of its peers the others never learn
-// of a crash, and run the request on their own upstreams.
-TEST(crash_update_queue_test, WhatAPeerToldIsToldOnOnce) {
+// Guards against a request that crashed an upstream being run on the upstreams
+// of other daemons: in a fleet where a daemon sends heartbeats to only some of
+// its peers, the others get its report by relay only.
+TEST(crash_update_queue_test, RelaysAPeersReportOnce) {
   const endpoint peer{"10.0.0.7", 7};
   const time_point now{std::chrono::seconds(100)};
-  const quarantine_update told{
+  const quarantine_update received{
       .crashes = {{.request = {.high = 1, .low = 2},
                    .upstream = 3,
                    .age = std::chrono::milliseconds(400)}}};
-  crash_update_queue bulletin;
-  bulletin.Relay(now, told);
+  crash_update_queue queue;
+  queue.Relay(now, received);
   const duration later = std::chrono::milliseconds(100);
-  const quarantine_update passed = bulletin.TakeFor(now + later, peer);
-  ASSERT_EQ(passed.crashes.size(), 1U);
-  EXPECT_EQ(passed.crashes[0].age, std::chrono::milliseconds(500));
-  quarantine_update again = told;
-  again.crashes[0].age += later;
-  bulletin.Relay(now + later, again);
-  EXPECT_TRUE(bulletin.TakeFor(now + later, peer).IsEmpty());
+  const quarantine_update relayed = queue.TakeFor(now + later, peer);
+  ASSERT_EQ(relayed.crashes.size(), 1U);
+  EXPECT_EQ(relayed.crashes[0].age, std::chrono::milliseconds(500));
+  quarantine_update copy = received;
+  copy.crashes[0].age += later;
+  queue.Relay(now + later, copy);
+  EXPECT_TRUE(queue.TakeFor(now + later, peer).IsEmpty());
 }
 
 }  // namespace
--- a/unittests/Fleet/peer_update_log_test.cc
+++ b/unittests/Fleet/peer_update_log_test.cc
@@ -1,4 +1,4 @@
-// What peers are told of placements.
+// The placements that heartbeats carry to each peer.
 #include "cuminswitch/Fleet/peer_update_log.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace cuminswitch {
 namespace {
 
-using placement_news = peer_update_log<placed_prefix, 256>;
+using placement_log = peer_update_log<placed_prefix, 256>;
 
 endpoint Peer(int number) {
   return {.address = "10.0.0." + std::to_string(number), .port = 1};
@@ -25,36 +25,36 @@
   return list;
 }
 
-// Symptom: in a fleet of 63 daemons nearly every request saves its prefix once
-// more, and the cache store drops within seconds what others still need.
-// Sequence: a prefix is placed and saved; the beats of that round go to 16
-// peers; the other peers' beats come in later rounds.
-// Cause: beats carried the placements of their own round only.
-TEST(peer_update_log_test, APeerWhoseTurnComesLaterIsToldAll) {
-  placement_news news;
-  news.Add(Placed(1, 2));
-  EXPECT_EQ(news.TakeFor(Peer(1)).size(), 2U);
-  news.Add(Placed(3, 1));
-  EXPECT_EQ(news.TakeFor(Peer(1)).size(), 1U);
-  EXPECT_EQ(news.TakeFor(Peer(2)).size(), 3U);
+// Guards against nearly every request saving its prefix again in a fleet of 63
+// daemons, so that the cache store evicts within seconds what others still
+// need. A prefix is placed and saved, and the heartbeats of that round go to 16
+// peers; the other peers get theirs in later rounds. They missed the placement
+// when a heartbeat carried only the placements of its own round.
+TEST(peer_update_log_test, SendsUpdatesOfEarlierRoundsToAPeer) {
+  placement_log log;
+  log.Add(Placed(1, 2));
+  EXPECT_EQ(log.TakeFor(Peer(1)).size(), 2U);
+  log.Add(Placed(3, 1));
+  EXPECT_EQ(log.TakeFor(Peer(1)).size(), 1U);
+  EXPECT_EQ(log.TakeFor(Peer(2)).size(), 3U);
 }
 
-TEST(peer_update_log_test, NothingIsToldTwice) {
-  placement_news news;
-  news.Add(Placed(1, 2));
-  news.TakeFor(Peer(1));
-  EXPECT_TRUE(news.TakeFor(Peer(1)).empty());
+TEST(peer_update_log_test, SendsNoUpdateTwice) {
+  placement_log log;
+  log.Add(Placed(1, 2));
+  log.TakeFor(Peer(1));
+  EXPECT_TRUE(log.TakeFor(Peer(1)).empty());
 }
 
-TEST(peer_update_log_test, AFrameStaysBounded) {
-  placement_news news;
-  news.TakeFor(Peer(1));
+TEST(peer_update_log_test, BoundsTheUpdatesInAFrame) {
+  placement_log log;
+  log.TakeFor(Peer(1));
   for (uint64_t round = 0; round < 10; ++round) {
-    news.Add(Placed(100 * round, 100));
+    log.Add(Placed(100 * round, 100));
   }
-  const std::vector<placed_prefix> told = news.TakeFor(Peer(1));
-  EXPECT_EQ(told.size(), placement_news::kCapacity);
-  EXPECT_EQ(told.back().prefix, 999U);
+  const std::vector<placed_prefix> sent = log.TakeFor(Peer(1));
+  EXPECT_EQ(sent.size(), placement_log::kCapacity);
+  EXPECT_EQ(sent.back().prefix, 999U);
 }
 
 }  // namespace
--- a/unittests/Fleet/quarantine_records_test.cc
+++ b/unittests/Fleet/quarantine_records_test.cc
@@ -1,4 +1,4 @@
-// The store's list of requests that are kept away from upstreams.
+// The records of quarantined requests in the store.
 #include "cuminswitch/Fleet/quarantine_records.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Grants leases and takes writes, unless told to refuse them.
+/// Grants leases and accepts writes, unless set to another status.
 class writable_store : public idle_item_store {
  public:
   void Write(const conditional_write& write,
@@ -52,7 +52,8 @@
       {.request = kRequest, .time_left = seconds(600)}};
 };
 
-TEST_F(quarantine_records_test, IsWrittenOnceUnderALeaseOfItsTime) {
+TEST_F(quarantine_records_test,
+       WritesARequestOnceUnderALeaseOfItsQuarantineTime) {
   Tick();
   Tick();
   ASSERT_EQ(store_.writes.size(), 1U);
@@ -65,7 +66,7 @@
   EXPECT_EQ(store_.writes.size(), 1U);
 }
 
-TEST_F(quarantine_records_test, IsWrittenAgainWhileTheStoreDoesNotListIt) {
+TEST_F(quarantine_records_test, RetriesWhileTheStoreDoesNotListTheRequest) {
   store_.lease_end = store_status::kRefused;
   Tick();
   EXPECT_TRUE(store_.writes.empty());
@@ -78,7 +79,7 @@
   EXPECT_EQ(store_.writes.size(), 2U);
 }
 
-TEST_F(quarantine_records_test, OneThatAnotherDaemonWroteLeavesNoLease) {
+TEST_F(quarantine_records_test, EndsTheLeaseWhenAnotherDaemonWroteTheRequest) {
   store_.write_end = store_status::kConflict;
   Tick();
   EXPECT_EQ(store_.ended, std::vector<lease_number>{1});
