--- a/include/cuminswitch/Fleet/fleet_message.h
+++ b/include/cuminswitch/Fleet/fleet_message.h
@@ -1,5 +1,5 @@
 /// \file
-/// Messages that the fleet task takes and sends.
+/// Messages that the fleet task receives and sends.
 #ifndef CUMINSWITCH_FLEET_FLEET_MESSAGE_H_
 #define CUMINSWITCH_FLEET_FLEET_MESSAGE_H_
 
@@ -17,34 +17,35 @@
 
 namespace cuminswitch {
 
-/// The daemon stops: peers are told at once.
+/// The daemon is stopping; peers are notified at once.
 struct fleet_stop_requested {};
-/// Whether the daemon takes callers.
+/// Whether the daemon accepts callers changed.
 struct readiness_changed {
   bool is_ready = false;
 };
-/// What this daemon's requests wait for, and what it placed since it last
-/// told.
+/// The backlog of this daemon's requests at upstreams, its recent traffic, and
+/// the prefixes that it placed since the last message of this kind.
 struct own_placements {
   std::vector<upstream_backlog> backlogs;
   std::vector<placed_prefix> prefixes;
   prompt_mix mix;
 };
-/// What upstreams told this daemon of the rate that they take.
+/// Rate limits that upstreams advertised to this daemon.
 struct own_limits {
   std::vector<limit_update> limits;
-  /// As of when their ages are.
+  /// The time as of which their ages are.
   time_point at{};
 };
-/// What this daemon knows of requests that may crash upstreams.
+/// This daemon's reports of requests that may crash upstreams.
 struct own_quarantine {
-  /// Learnt since it last told.
+  /// Reports made since the last message of this kind.
   quarantine_update update;
-  /// What peers may have missed.
+  /// Crashes that still count, to be repeated for peers that missed a report.
   std::vector<crash_report> active_crashes;
-  /// What has to be known also when no daemon of now is left.
+  /// Requests to be recorded in the store, so that they remain quarantined also
+  /// when all present daemons have ended.
   std::vector<quarantine_record> quarantined;
-  /// As of when the ages are.
+  /// The time as of which the ages are.
   time_point at{};
 };
 using fleet_message = std::variant<fleet_stop_requested,
@@ -54,44 +55,48 @@
                                    own_quarantine,
                                    outgoing_quota_message>;
 
-/// What is known of the deployment changed.
+/// The decoded view of the store changed.
 struct fleet_snapshot_changed {
   std::shared_ptr<const fleet_snapshot> knowledge;
 };
 /// Some of the upstreams in use changed.
 struct upstreams_changed {
   std::vector<upstream_change> changes;
-  /// Listed ones whose entries cannot be read.
+  /// Number of listed upstreams whose entries cannot be decoded.
   size_t unreadable = 0;
-  /// As of this revision of the store.
+  /// Revision of the store that the changes lead to.
   revision_number revision = 0;
 };
-/// The living peers, or what they say of themselves, changed.
+/// The set of peers that are alive, or the record of one of them, changed.
 struct peers_changed {
   std::vector<daemon_record> alive;
-  /// Daemons of the deployment, dead ones and this one included.
+  /// Number of known daemons of the deployment, failed ones and this one
+  /// included.
   size_t known = 1;
-  /// Those of them that may be at work, although nothing is heard of some.
+  /// Number of those that are alive, or failed recently and may only be
+  /// partitioned from this daemon.
   size_t possibly_active = 1;
-  /// Within this time of a change all know of it.
+  /// Time within which all daemons have seen a change.
   duration convergence_time{0};
-  /// This daemon beats only some of its peers, and they pass on what it tells.
+  /// This daemon sends heartbeats to only some of its peers, which relay its
+  /// updates.
   bool is_partial = false;
 };
-/// What upstreams told a peer of the rate that they take.
+/// Rate limits that upstreams advertised to a peer.
 struct peer_limits {
   std::string peer;
   std::vector<limit_update> limits;
 };
-/// What a peer knows of requests that may crash upstreams.
+/// A peer's reports of requests that may crash upstreams.
 struct peer_quarantine {
   quarantine_update update;
 };
-/// Whether it is unknown for a while if the store holds something newer.
+/// Whether this daemon's items may be out of date changed: they are stale while
+/// nothing has shown recently that the store holds no newer ones.
 struct items_staleness {
   bool is_stale = false;
 };
-/// The upstreams whose weights are being changed just now.
+/// The upstreams whose weights are being changed.
 struct weights_changing {
   std::vector<std::string> upstreams;
 };
@@ -106,7 +111,7 @@
                                  quota_query,
                                  quota_reply>;
 
-/// The names of the services, for the kernel's registry.
+/// Names of the services in the kernel's registry.
 inline constexpr std::string_view kFleetService = "fleet";
 inline constexpr std::string_view kEdgeService = "edge";
 
--- a/include/cuminswitch/Fleet/peer_frame.h
+++ b/include/cuminswitch/Fleet/peer_frame.h
@@ -1,6 +1,6 @@
 /// \file
-/// What daemons tell one another on the platform. The structs are one family
-/// and share this header.
+/// Messages between the daemons of a deployment on the platform. The structs
+/// are one family and share this header.
 #ifndef CUMINSWITCH_FLEET_PEER_FRAME_H_
 #define CUMINSWITCH_FLEET_PEER_FRAME_H_
 
@@ -22,14 +22,16 @@
 
 namespace cuminswitch {
 
-/// The store was away for all daemons and is back, so that entries of upstreams
-/// are missing that live.
+/// Grace period after an outage of the store for all daemons: entries of
+/// upstreams that are alive may be missing, since their heartbeats to the store
+/// could not arrive.
 struct store_recovery {
-  /// Names the return of the store, as one daemon saw it; 0 for none.
+  /// Identifies the recovery of the store, as one daemon saw it; 0 for none.
   uint64_t event = 0;
-  /// For how much longer entries may be missing.
+  /// Time for which entries may still be missing.
   duration left{0};
-  /// The store's at its return. What was removed later has not lapsed.
+  /// Revision of the store at its recovery. Entries removed later did not
+  /// expire during the outage.
   revision_number revision = 0;
 
   friend bool operator==(const store_recovery&,
@@ -40,66 +42,70 @@
 struct daemon_record {
   std::string name;
   uint64_t incarnation = 0;
-  /// Grows, within one incarnation, whenever it says something else of itself.
+  /// Incremented, within one incarnation, whenever the record changes.
   uint32_t version = 0;
   endpoint peer_address;
   endpoint caller_address;
   std::string failure_domain;
-  /// Megabits per second of its link; 0 for not known.
+  /// Rate of its link in megabits per second; 0 where unknown.
   uint32_t link_rate = 0;
-  /// It has a configuration and takes callers.
+  /// It has a configuration and accepts callers.
   bool is_ready = false;
   bool is_leaving = false;
-  /// The store answered it just now.
+  /// It got a reply of the store recently.
   bool has_store = false;
   store_recovery recovery;
-  /// Everything up to this revision of the store is known to it.
+  /// It has all changes of the store up to this revision.
   revision_number revision = 0;
 };
 
-/// What one daemon tells another of a third one.
+/// State of one daemon as gossiped between two others.
 struct member_update {
-  /// As the third one described itself; of one that is suspected only the name,
-  /// the incarnation and the version count.
+  /// The record as that daemon sent it; where it is suspected, only the name,
+  /// the incarnation and the version are set.
   daemon_record record;
-  /// Its beats did not come.
+  /// A monitor missed its heartbeats.
   bool is_suspected = false;
 };
 
-/// Sent to peers all the time; the lack of beats shows that a daemon is gone.
+/// Sent to peers periodically; the lack of heartbeats shows that a daemon has
+/// failed.
 struct heartbeat_frame {
   daemon_record sender;
-  /// Peers that the sender has heard just now, so that a daemon finds others
-  /// without the store.
+  /// Some of the peers that the sender knows to be alive, so that daemons find
+  /// one another without the store.
   std::vector<endpoint> recent_peers;
   /// Upstreams whose weights the sender, as the leader, is changing.
   std::vector<std::string> changing;
-  /// What the sender's requests wait for.
+  /// Prompt tokens of the sender's requests that wait at upstreams.
   std::vector<upstream_backlog> backlogs;
-  /// What the sender placed since its last round of beats.
+  /// Prefixes that the sender placed at upstreams since its last heartbeat to
+  /// the receiver.
   std::vector<placed_prefix> prefixes;
-  /// The sender's traffic of late.
+  /// The sender's recent traffic.
   prompt_mix mix;
-  /// What upstreams told the sender of the rate that they take.
+  /// Rate limits that upstreams advertised to the sender.
   std::vector<limit_update> limits;
-  /// What the sender knows of requests that may crash upstreams.
+  /// Crash and completion reports of requests that may crash upstreams.
   quarantine_update quarantine;
-  /// The receiver is to watch the sender, which beats it in every round.
+  /// The receiver is to monitor the sender, which sends it a heartbeat in every
+  /// round.
   bool is_watched = false;
   std::vector<member_update> members;
-  /// When the sender's items were last known to be complete.
+  /// When the sender's items were last known to be up to date.
   std::optional<freshness_record> freshness;
 };
 
-/// Asks for what changed after a revision.
+/// Requests the items that changed after a revision.
 struct items_request_frame {
   endpoint reply_to;
   revision_number after = 0;
 };
 
 struct items_reply_frame {
+  /// Revision of the store up to which the reply goes.
   revision_number revision = 0;
-  /// All items that exist are listed; otherwise only those that changed.
+  /// `items` holds all existing items; otherwise only those that changed.
   bool is_complete = false;
   std::vector<item_change> items;
 };
@@ -111,7 +117,7 @@
                                 quota_reply>;
 
 std::string EncodePeerFrame(const peer_frame& frame);
-/// Returns nothing for bytes that are no frame.
+/// Returns `std::nullopt` for bytes that are not a valid frame.
 std::optional<peer_frame> DecodePeerFrame(std::span<const uint8_t> bytes);
 
 }  // namespace cuminswitch
--- a/lib/Fleet/peer_frame.cc
+++ b/lib/Fleet/peer_frame.cc
@@ -12,8 +12,8 @@
 
 namespace cuminswitch {
 
-/// Members that one beat may tell of; no daemon tells of so many.
-static constexpr size_t kMostMembers = 64;
+/// Maximum number of member updates in a valid heartbeat; daemons send fewer.
+static constexpr size_t kMaxMembers = 64;
 
 static std::vector<std::string> ReadTexts(
     const flatbuffers::Vector<flatbuffers::Offset<flatbuffers::String>>* list) {
@@ -26,55 +26,56 @@
   return texts;
 }
 
-/// Whether all are numbers that can be reckoned with.
+/// Whether no value is infinite or NaN.
 static bool AreFinite(std::initializer_list<double> values) {
   return std::all_of(values.begin(), values.end(),
                      [](double value) { return std::isfinite(value); });
 }
 
-/// Whether something may be so old. A time before the clock's beginning would
-/// pass for one far ahead.
-static bool IsAge(int64_t age_us) {
-  static constexpr int64_t kMostAgeUs = 3'600'000'000;
-  return age_us >= 0 && age_us <= kMostAgeUs;
+/// Whether \p age_us is neither negative nor more than an hour. A greater age
+/// may give a time before the epoch of the clock, which would pass for one far
+/// in the future.
+static bool IsPlausibleAge(int64_t age_us) {
+  static constexpr int64_t kMaxAgeUs = 3'600'000'000;
+  return age_us >= 0 && age_us <= kMaxAgeUs;
 }
 
-/// Returns whether the news make sense.
-static bool ReadQuarantineNews(const fleet_wire::beat& wire,
-                               quarantine_update& news) {
+/// Reads the crash and completion reports; returns false where one is invalid.
+static bool ReadQuarantineUpdate(const fleet_wire::beat& wire,
+                                 quarantine_update& update) {
   if (wire.crashes() != nullptr) {
     for (const fleet_wire::crash* item : *wire.crashes()) {
-      if (!IsAge(item->age_us()) || !IsAge(item->took_us())) {
+      if (!IsPlausibleAge(item->age_us()) || !IsPlausibleAge(item->took_us())) {
         return false;
       }
-      news.crashes.push_back({.request = {.high = item->request_high(),
-                                          .low = item->request_low()},
-                              .upstream = item->upstream(),
-                              .age = duration(item->age_us()),
-                              .took = duration(item->took_us())});
+      update.crashes.push_back({.request = {.high = item->request_high(),
+                                            .low = item->request_low()},
+                                .upstream = item->upstream(),
+                                .age = duration(item->age_us()),
+                                .took = duration(item->took_us())});
     }
   }
   if (wire.completions() != nullptr) {
     for (const fleet_wire::completion* item : *wire.completions()) {
-      if (!IsAge(item->age_us())) {
+      if (!IsPlausibleAge(item->age_us())) {
         return false;
       }
-      news.completions.push_back({.request = {.high = item->request_high(),
-                                              .low = item->request_low()},
-                                  .age = duration(item->age_us())});
+      update.completions.push_back({.request = {.high = item->request_high(),
+                                                .low = item->request_low()},
+                                    .age = duration(item->age_us())});
     }
   }
   return true;
 }
 
-/// Returns nothing for a member that is not described whole.
+/// Returns `std::nullopt` for an incomplete or invalid record.
 static std::optional<member_update> ReadMember(const fleet_wire::member& wire) {
-  member_update news{.record = {.name = wire.daemon()->str(),
-                                .incarnation = wire.incarnation(),
-                                .version = wire.version()},
-                     .is_suspected = wire.is_suspected()};
-  if (news.is_suspected) {
-    return news;
+  member_update update{.record = {.name = wire.daemon()->str(),
+                                  .incarnation = wire.incarnation(),
+                                  .version = wire.version()},
+                       .is_suspected = wire.is_suspected()};
+  if (update.is_suspected) {
+    return update;
   }
   if (wire.peer_address() == nullptr || wire.caller_address() == nullptr ||
       wire.failure_domain() == nullptr) {
@@ -86,35 +87,36 @@
   if (!peer_address || !caller_address) {
     return std::nullopt;
   }
-  daemon_record& record = news.record;
+  daemon_record& record = update.record;
   record.peer_address = *peer_address;
   record.caller_address = *caller_address;
   record.failure_domain = wire.failure_domain()->str();
   record.link_rate = wire.link_rate();
   record.is_ready = wire.is_ready();
   record.is_leaving = wire.is_leaving();
-  return news;
+  return update;
 }
 
-/// Returns whether the news make sense.
+/// Reads the member updates; returns false where there are too many or one is
+/// invalid.
 static bool ReadMembers(const fleet_wire::beat& wire, heartbeat_frame& frame) {
   if (wire.members() == nullptr) {
     return true;
   }
-  if (wire.members()->size() > kMostMembers) {
+  if (wire.members()->size() > kMaxMembers) {
     return false;
   }
   for (const fleet_wire::member* item : *wire.members()) {
-    std::optional<member_update> news = ReadMember(*item);
-    if (!news) {
+    std::optional<member_update> update = ReadMember(*item);
+    if (!update) {
       return false;
     }
-    frame.members.push_back(std::move(*news));
+    frame.members.push_back(std::move(*update));
   }
   return true;
 }
 
-static std::optional<peer_frame> ReadBeat(const fleet_wire::beat& wire) {
+static std::optional<peer_frame> ReadHeartbeat(const fleet_wire::beat& wire) {
   const auto peer_address = ParseEndpoint(wire.peer_address()->string_view());
   const auto caller_address =
       ParseEndpoint(wire.caller_address()->string_view());
@@ -170,7 +172,7 @@
   if (wire.limits() != nullptr) {
     for (const fleet_wire::limit* item : *wire.limits()) {
       if (!AreFinite({item->rate()}) || item->rate() < 0 ||
-          !IsAge(item->age_us())) {
+          !IsPlausibleAge(item->age_us())) {
         return std::nullopt;
       }
       frame.limits.push_back({.upstream = item->upstream(),
@@ -180,17 +182,17 @@
     }
   }
   frame.is_watched = wire.is_watched();
-  if (!IsAge(wire.awaited_for_us())) {
+  if (!IsPlausibleAge(wire.awaited_for_us())) {
     return std::nullopt;
   }
   if (wire.store_witness() != 0) {
-    if (!IsAge(wire.store_answer_age_us())) {
+    if (!IsPlausibleAge(wire.store_answer_age_us())) {
       return std::nullopt;
     }
     frame.freshness = {.daemon_hash = wire.store_witness(),
                        .age = duration(wire.store_answer_age_us())};
   }
-  if (!ReadQuarantineNews(wire, frame.quarantine) ||
+  if (!ReadQuarantineUpdate(wire, frame.quarantine) ||
       !ReadMembers(wire, frame)) {
     return std::nullopt;
   }
@@ -251,41 +253,41 @@
   return frame;
 }
 
-static std::optional<peer_frame> ReadQuotaAsk(
+static std::optional<peer_frame> ReadQuotaQuery(
     const fleet_wire::quota_ask& wire) {
   const auto from = ParseEndpoint(wire.from()->string_view());
-  const bool is_sound = AreFinite({wire.rate(), wire.burst(), wire.weight()}) &&
+  const bool is_valid = AreFinite({wire.rate(), wire.burst(), wire.weight()}) &&
                         wire.rate() > 0 && wire.burst() >= 0 &&
-                        IsAge(wire.limit_age_us());
-  if (!from || !is_sound) {
+                        IsPlausibleAge(wire.limit_age_us());
+  if (!from || !is_valid) {
     return std::nullopt;
   }
-  quota_query ask{.from = *from,
-                  .ticket = wire.ticket(),
-                  .kind = wire.is_upstream() ? quota_kind::kUpstream
-                                             : quota_kind::kWorkspace,
-                  .subject = wire.subject(),
-                  .limit = {.rate = wire.rate(),
-                            .burst = wire.burst(),
-                            .version = wire.version()},
-                  .limit_age = duration(wire.limit_age_us()),
-                  .weight = wire.weight(),
-                  .digest = wire.digest(),
-                  .max_wait = duration(wire.patience_us()),
-                  .is_final = wire.is_final(),
-                  .last_level = std::nullopt};
-  if (const fleet_wire::quota_level* told = wire.told()) {
-    if (!AreFinite({told->level()}) || told->age_us() < 0) {
+  quota_query query{.from = *from,
+                    .ticket = wire.ticket(),
+                    .kind = wire.is_upstream() ? quota_kind::kUpstream
+                                               : quota_kind::kWorkspace,
+                    .subject = wire.subject(),
+                    .limit = {.rate = wire.rate(),
+                              .burst = wire.burst(),
+                              .version = wire.version()},
+                    .limit_age = duration(wire.limit_age_us()),
+                    .weight = wire.weight(),
+                    .digest = wire.digest(),
+                    .max_wait = duration(wire.patience_us()),
+                    .is_final = wire.is_final(),
+                    .last_level = std::nullopt};
+  if (const fleet_wire::quota_level* level = wire.told()) {
+    if (!AreFinite({level->level()}) || level->age_us() < 0) {
       return std::nullopt;
     }
-    ask.last_level = quota_level{.owner = told->owner(),
-                                 .level = told->level(),
-                                 .age = duration(told->age_us())};
+    query.last_level = quota_level{.owner = level->owner(),
+                                   .level = level->level(),
+                                   .age = duration(level->age_us())};
   }
-  return ask;
+  return query;
 }
 
-static std::optional<peer_frame> ReadQuotaVerdict(
+static std::optional<peer_frame> ReadQuotaReply(
     const fleet_wire::quota_verdict& wire) {
   const fleet_wire::quota_verdict_body& body = *wire.body();
   if (!AreFinite({body.level(), body.share()}) || body.retry_after_us() < 0) {
@@ -307,8 +309,8 @@
     return std::nullopt;
   }
   const auto* wire = flatbuffers::GetRoot<fleet_wire::frame>(bytes.data());
-  if (const auto* beat = wire->body_as_beat()) {
-    return ReadBeat(*beat);
+  if (const auto* heartbeat = wire->body_as_beat()) {
+    return ReadHeartbeat(*heartbeat);
   }
   if (const auto* request = wire->body_as_items_request()) {
     return ReadRequest(*request);
@@ -316,11 +318,11 @@
   if (const auto* reply = wire->body_as_items_reply()) {
     return ReadReply(*reply);
   }
-  if (const auto* ask = wire->body_as_quota_ask()) {
-    return ReadQuotaAsk(*ask);
+  if (const auto* query = wire->body_as_quota_ask()) {
+    return ReadQuotaQuery(*query);
   }
-  if (const auto* verdict = wire->body_as_quota_verdict()) {
-    return ReadQuotaVerdict(*verdict);
+  if (const auto* decision = wire->body_as_quota_verdict()) {
+    return ReadQuotaReply(*decision);
   }
   return std::nullopt;
 }
--- a/lib/Fleet/peer_frame_writer.cc
+++ b/lib/Fleet/peer_frame_writer.cc
@@ -1,4 +1,4 @@
-// How frames are written.
+// Encoding of frames between daemons.
 #include <flatbuffers/flatbuffers.h>
 
 #include <optional>
@@ -17,7 +17,7 @@
 
 using builder = flatbuffers::FlatBufferBuilder;
 
-/// Writes items as a list of their own.
+/// Encodes items as a buffer of its own, to be compressed as a whole.
 builder WriteItems(std::span<const item_change> changes) {
   builder out;
   std::vector<flatbuffers::Offset<fleet_wire::item>> items;
@@ -33,7 +33,7 @@
   return out;
 }
 
-/// Writes a frame's body; returns its type and place.
+/// Writes the body of a frame and returns its offset; `type` is its type.
 class body_writer {
  public:
   explicit body_writer(builder& out) : out_(out) {}
@@ -42,9 +42,9 @@
 
   flatbuffers::Offset<void> operator()(const heartbeat_frame& frame) {
     type_ = fleet_wire::body_beat;
-    std::vector<std::string> heard;
+    std::vector<std::string> recent_peers;
     for (const endpoint& item : frame.recent_peers) {
-      heard.push_back(item.ToString());
+      recent_peers.push_back(item.ToString());
     }
     std::vector<fleet_wire::load> loads;
     for (const upstream_backlog& item : frame.backlogs) {
@@ -83,7 +83,7 @@
         static_cast<float>(frame.mix.short_held),
         static_cast<float>(frame.mix.seconds), frame.mix.reserves_engines);
     const daemon_record& sender = frame.sender;
-    const freshness_record evidence =
+    const freshness_record freshness =
         frame.freshness.value_or(freshness_record());
     return fleet_wire::Createbeat(
                out_, out_.CreateString(sender.name), sender.incarnation,
@@ -91,7 +91,7 @@
                out_.CreateString(sender.caller_address.ToString()),
                out_.CreateString(sender.failure_domain), sender.is_ready,
                sender.is_leaving, sender.has_store, sender.revision,
-               out_.CreateVectorOfStrings(heard),
+               out_.CreateVectorOfStrings(recent_peers),
                out_.CreateVectorOfStrings(frame.changing),
                out_.CreateVectorOfStructs(loads),
                out_.CreateVectorOfStructs(prefixes), sender.link_rate, &mix,
@@ -99,7 +99,7 @@
                out_.CreateVectorOfStructs(crashes),
                out_.CreateVectorOfStructs(completions), sender.version,
                frame.is_watched, out_.CreateVector(members),
-               evidence.daemon_hash, evidence.age.count(),
+               freshness.daemon_hash, freshness.age.count(),
                sender.recovery.event, sender.recovery.left.count(),
                sender.recovery.revision)
         .Union();
@@ -124,38 +124,39 @@
         .Union();
   }
 
-  flatbuffers::Offset<void> operator()(const quota_query& ask) {
+  flatbuffers::Offset<void> operator()(const quota_query& query) {
     type_ = fleet_wire::body_quota_ask;
-    fleet_wire::quota_level told;
-    if (ask.last_level) {
-      told = {ask.last_level->owner, ask.last_level->level,
-              ask.last_level->age.count()};
+    fleet_wire::quota_level last_level;
+    if (query.last_level) {
+      last_level = {query.last_level->owner, query.last_level->level,
+                    query.last_level->age.count()};
     }
     return fleet_wire::Createquota_ask(
-               out_, out_.CreateString(ask.from.ToString()), ask.ticket,
-               ask.subject, ask.limit.rate, ask.limit.burst, ask.limit.version,
-               ask.weight, ask.digest, ask.max_wait.count(),
-               ask.last_level ? &told : nullptr, ask.is_final,
-               ask.kind == quota_kind::kUpstream, ask.limit_age.count())
+               out_, out_.CreateString(query.from.ToString()), query.ticket,
+               query.subject, query.limit.rate, query.limit.burst,
+               query.limit.version, query.weight, query.digest,
+               query.max_wait.count(), query.last_level ? &last_level : nullptr,
+               query.is_final, query.kind == quota_kind::kUpstream,
+               query.limit_age.count())
         .Union();
   }
 
-  flatbuffers::Offset<void> operator()(const quota_reply& verdict) {
+  flatbuffers::Offset<void> operator()(const quota_reply& reply) {
     type_ = fleet_wire::body_quota_verdict;
     const fleet_wire::quota_verdict_body body(
-        verdict.ticket, verdict.retry_after.count(), verdict.owner,
-        verdict.level, verdict.share, verdict.is_admitted);
-    return fleet_wire::Createquota_verdict(
-               out_, &body, verdict.kind == quota_kind::kUpstream)
+        reply.ticket, reply.retry_after.count(), reply.owner, reply.level,
+        reply.share, reply.is_admitted);
+    return fleet_wire::Createquota_verdict(out_, &body,
+                                           reply.kind == quota_kind::kUpstream)
         .Union();
   }
 
  private:
   flatbuffers::Offset<fleet_wire::member> WriteMember(
-      const member_update& news) {
-    const daemon_record& record = news.record;
+      const member_update& update) {
+    const daemon_record& record = update.record;
     const auto name = out_.CreateString(record.name);
-    if (news.is_suspected) {
+    if (update.is_suspected) {
       return fleet_wire::Createmember(out_, name, record.incarnation,
                                       record.version, true);
     }
--- a/unittests/Fleet/peer_frame_test.cc
+++ b/unittests/Fleet/peer_frame_test.cc
@@ -1,4 +1,4 @@
-// Frames between daemons, whole and damaged.
+// Encoding and decoding of frames between daemons, valid and damaged ones.
 #include "cuminswitch/Fleet/peer_frame.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
   return {reinterpret_cast<const uint8_t*>(text.data()), text.size()};
 }
 
-heartbeat_frame MakeBeat() {
+heartbeat_frame MakeHeartbeat() {
   return {.sender = {.name = "a",
                      .incarnation = 7,
                      .peer_address = {"10.0.0.1", 1},
@@ -38,47 +38,48 @@
                         .saved_weights = 77}}};
 }
 
-TEST(peer_frame_test, ABeatComesBack) {
-  const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(MakeBeat())));
+TEST(peer_frame_test, DecodesAHeartbeat) {
+  const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(MakeHeartbeat())));
   ASSERT_TRUE(frame);
-  const auto& beat = std::get<heartbeat_frame>(*frame);
-  EXPECT_EQ(beat.sender.name, "a");
-  EXPECT_EQ(beat.sender.incarnation, 7U);
-  EXPECT_EQ(beat.sender.caller_address, (endpoint{"10.0.0.1", 2}));
-  EXPECT_EQ(beat.sender.link_rate, 200U);
-  EXPECT_TRUE(beat.sender.is_ready);
-  EXPECT_FALSE(beat.sender.is_leaving);
-  EXPECT_TRUE(beat.sender.has_store);
-  EXPECT_EQ(beat.sender.revision, 9U);
-  EXPECT_EQ(beat.recent_peers.size(), 1U);
-  EXPECT_EQ(beat.changing, std::vector<std::string>{"u"});
-  EXPECT_EQ(beat.backlogs[0].tokens, 400U);
-  EXPECT_EQ(beat.prefixes[0].prefix, 5U);
-  EXPECT_EQ(beat.prefixes[0].incarnation, 4'000'000'000U);
-  EXPECT_EQ(beat.prefixes[0].saved_weights, 77U);
+  const auto& heartbeat = std::get<heartbeat_frame>(*frame);
+  EXPECT_EQ(heartbeat.sender.name, "a");
+  EXPECT_EQ(heartbeat.sender.incarnation, 7U);
+  EXPECT_EQ(heartbeat.sender.caller_address, (endpoint{"10.0.0.1", 2}));
+  EXPECT_EQ(heartbeat.sender.link_rate, 200U);
+  EXPECT_TRUE(heartbeat.sender.is_ready);
+  EXPECT_FALSE(heartbeat.sender.is_leaving);
+  EXPECT_TRUE(heartbeat.sender.has_store);
+  EXPECT_EQ(heartbeat.sender.revision, 9U);
+  EXPECT_EQ(heartbeat.recent_peers.size(), 1U);
+  EXPECT_EQ(heartbeat.changing, std::vector<std::string>{"u"});
+  EXPECT_EQ(heartbeat.backlogs[0].tokens, 400U);
+  EXPECT_EQ(heartbeat.prefixes[0].prefix, 5U);
+  EXPECT_EQ(heartbeat.prefixes[0].incarnation, 4'000'000'000U);
+  EXPECT_EQ(heartbeat.prefixes[0].saved_weights, 77U);
 }
 
-TEST(peer_frame_test, EvidenceOfTheStoreComesBack) {
-  heartbeat_frame beat = MakeBeat();
-  beat.freshness = {.daemon_hash = 12, .age = std::chrono::milliseconds(340)};
-  const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(beat)));
+TEST(peer_frame_test, DecodesFreshnessAndRecoveryOfTheStore) {
+  heartbeat_frame heartbeat = MakeHeartbeat();
+  heartbeat.freshness = {.daemon_hash = 12,
+                         .age = std::chrono::milliseconds(340)};
+  const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(heartbeat)));
   ASSERT_TRUE(frame);
-  EXPECT_EQ(std::get<heartbeat_frame>(*frame).freshness, beat.freshness);
-  beat.sender.recovery = {
+  EXPECT_EQ(std::get<heartbeat_frame>(*frame).freshness, heartbeat.freshness);
+  heartbeat.sender.recovery = {
       .event = 4, .left = std::chrono::seconds(2), .revision = 8};
-  const auto awaiting = DecodePeerFrame(BytesOf(EncodePeerFrame(beat)));
-  ASSERT_TRUE(awaiting);
-  EXPECT_EQ(std::get<heartbeat_frame>(*awaiting).sender.recovery,
-            beat.sender.recovery);
-  beat.freshness->age = -std::chrono::milliseconds(1);
-  EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(beat))));
-  beat.freshness.reset();
-  const auto without = DecodePeerFrame(BytesOf(EncodePeerFrame(beat)));
+  const auto recovering = DecodePeerFrame(BytesOf(EncodePeerFrame(heartbeat)));
+  ASSERT_TRUE(recovering);
+  EXPECT_EQ(std::get<heartbeat_frame>(*recovering).sender.recovery,
+            heartbeat.sender.recovery);
+  heartbeat.freshness->age = -std::chrono::milliseconds(1);
+  EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(heartbeat))));
+  heartbeat.freshness.reset();
+  const auto without = DecodePeerFrame(BytesOf(EncodePeerFrame(heartbeat)));
   ASSERT_TRUE(without);
   EXPECT_FALSE(std::get<heartbeat_frame>(*without).freshness);
 }
 
-TEST(peer_frame_test, ItemsComeBack) {
+TEST(peer_frame_test, DecodesItems) {
   const items_reply_frame sent{
       .revision = 4,
       .is_complete = true,
@@ -108,9 +109,9 @@
   return frame;
 }
 
-// Symptom: hosts with narrow links wait for seconds for a list of upstreams.
-// Cause: 3,000 items of 200 bytes went as they are.
-TEST(peer_frame_test, AListIsMuchSmallerThanItsItems) {
+// Guards against hosts with narrow links waiting for seconds for a list of
+// upstreams, as they did when 3,000 items of 200 bytes were sent uncompressed.
+TEST(peer_frame_test, CompressesAListOfItems) {
   const items_reply_frame list = MakeList(3'000);
   size_t size = 0;
   for (const item_change& item : list.items) {
@@ -119,9 +120,9 @@
   EXPECT_LT(EncodePeerFrame(list).size() * 5, size);
 }
 
-// Symptom: a host with 88 MB ends for want of memory. Cause: a damaged frame
-// claims a list of four gigabytes.
-TEST(peer_frame_test, AClaimedSizeReservesNothing) {
+// Guards against a daemon on a host with 88 MB running out of memory when a
+// damaged frame claims a list of four gigabytes.
+TEST(peer_frame_test, RefusesAFalseSizeOfPackedBytes) {
   const std::array<uint8_t, 3> bytes = {1, 2, 3};
   EXPECT_FALSE(UnpackBytes(bytes, kMaxUnpackedSize));
   EXPECT_FALSE(UnpackBytes(bytes, size_t{4} << 30));
@@ -130,13 +131,14 @@
   EXPECT_FALSE(UnpackBytes(PackBytes(bytes), 4));
 }
 
-// Symptom: a damaged frame crashes a daemon. Seeded damage.
-TEST(peer_frame_test, DamageIsRefusedOrHarmless) {
-  const std::string beat = EncodePeerFrame(MakeBeat());
+// Guards against a damaged frame crashing a daemon. The damage is pseudo-random
+// with a fixed seed.
+TEST(peer_frame_test, SurvivesDamagedFrames) {
+  const std::string heartbeat = EncodePeerFrame(MakeHeartbeat());
   const std::string list = EncodePeerFrame(MakeList(20));
   uint32_t state = 3;
   for (int round = 0; round < 20'000; ++round) {
-    std::string bytes = round % 2 == 0 ? beat : list;
+    std::string bytes = round % 2 == 0 ? heartbeat : list;
     for (int i = 0; i < 3; ++i) {
       state = state * 1664525 + 1013904223;
       bytes[(state >> 8) % bytes.size()] = static_cast<char>(state >> 24);
@@ -146,7 +148,7 @@
   }
 }
 
-quota_query MakeAsk() {
+quota_query MakeQuotaQuery() {
   return {.from = {"10.0.0.1", 1},
           .ticket = 5,
           .subject = 6,
@@ -159,43 +161,45 @@
               .owner = 2, .level = -7, .age = std::chrono::milliseconds(40)}};
 }
 
-TEST(peer_frame_test, AQuotaQuestionComesBack) {
-  const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(MakeAsk())));
+TEST(peer_frame_test, DecodesAQuotaQuery) {
+  const auto frame =
+      DecodePeerFrame(BytesOf(EncodePeerFrame(MakeQuotaQuery())));
   ASSERT_TRUE(frame.has_value());
-  const auto& ask = std::get<quota_query>(*frame);
-  EXPECT_EQ(ask.from, MakeAsk().from);
-  EXPECT_EQ(ask.ticket, 5U);
-  EXPECT_EQ(ask.limit.version, 3U);
-  EXPECT_EQ(ask.weight, -9.5);
-  EXPECT_EQ(ask.max_wait, MakeAsk().max_wait);
-  EXPECT_TRUE(ask.is_final);
-  ASSERT_TRUE(ask.last_level.has_value());
-  EXPECT_EQ(ask.last_level->level, -7);
-  EXPECT_EQ(ask.last_level->age, MakeAsk().last_level->age);
+  const auto& query = std::get<quota_query>(*frame);
+  EXPECT_EQ(query.from, MakeQuotaQuery().from);
+  EXPECT_EQ(query.ticket, 5U);
+  EXPECT_EQ(query.limit.version, 3U);
+  EXPECT_EQ(query.weight, -9.5);
+  EXPECT_EQ(query.max_wait, MakeQuotaQuery().max_wait);
+  EXPECT_TRUE(query.is_final);
+  ASSERT_TRUE(query.last_level.has_value());
+  EXPECT_EQ(query.last_level->level, -7);
+  EXPECT_EQ(query.last_level->age, MakeQuotaQuery().last_level->age);
 }
 
-TEST(peer_frame_test, AQuotaAnswerComesBack) {
-  const quota_reply verdict{.ticket = 5,
-                            .is_admitted = true,
-                            .retry_after = std::chrono::milliseconds(20),
-                            .owner = 9,
-                            .level = -3,
-                            .share = 0.5};
-  const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(verdict)));
+TEST(peer_frame_test, DecodesAQuotaReply) {
+  const quota_reply reply{.ticket = 5,
+                          .is_admitted = true,
+                          .retry_after = std::chrono::milliseconds(20),
+                          .owner = 9,
+                          .level = -3,
+                          .share = 0.5};
+  const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(reply)));
   ASSERT_TRUE(frame.has_value());
-  const auto& back = std::get<quota_reply>(*frame);
-  EXPECT_EQ(back.ticket, 5U);
-  EXPECT_TRUE(back.is_admitted);
-  EXPECT_EQ(back.retry_after, verdict.retry_after);
-  EXPECT_EQ(back.level, -3);
-  EXPECT_EQ(back.share, 0.5);
+  const auto& decoded = std::get<quota_reply>(*frame);
+  EXPECT_EQ(decoded.ticket, 5U);
+  EXPECT_TRUE(decoded.is_admitted);
+  EXPECT_EQ(decoded.retry_after, reply.retry_after);
+  EXPECT_EQ(decoded.level, -3);
+  EXPECT_EQ(decoded.share, 0.5);
 }
 
-TEST(peer_frame_test, LimitsOfUpstreamsComeBack) {
-  heartbeat_frame beat = MakeBeat();
-  beat.limits = {{.upstream = 7, .rate = 1.3, .age = std::chrono::seconds(2)},
-                 {.upstream = 8, .has_ended = true}};
-  const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(beat)));
+TEST(peer_frame_test, DecodesLimitsOfUpstreams) {
+  heartbeat_frame heartbeat = MakeHeartbeat();
+  heartbeat.limits = {
+      {.upstream = 7, .rate = 1.3, .age = std::chrono::seconds(2)},
+      {.upstream = 8, .has_ended = true}};
+  const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(heartbeat)));
   ASSERT_TRUE(frame.has_value());
   const auto& limits = std::get<heartbeat_frame>(*frame).limits;
   ASSERT_EQ(limits.size(), 2U);
@@ -205,74 +209,79 @@
   EXPECT_FALSE(limits[0].has_ended);
   EXPECT_TRUE(limits[1].has_ended);
 
-  quota_query ask = MakeAsk();
-  ask.kind = quota_kind::kUpstream;
-  ask.limit_age = std::chrono::milliseconds(90);
-  const auto asked = DecodePeerFrame(BytesOf(EncodePeerFrame(ask)));
-  EXPECT_EQ(std::get<quota_query>(*asked).kind, quota_kind::kUpstream);
-  EXPECT_EQ(std::get<quota_query>(*asked).limit_age, ask.limit_age);
-  const auto answered = DecodePeerFrame(BytesOf(EncodePeerFrame(
+  quota_query query = MakeQuotaQuery();
+  query.kind = quota_kind::kUpstream;
+  query.limit_age = std::chrono::milliseconds(90);
+  const auto decoded_query = DecodePeerFrame(BytesOf(EncodePeerFrame(query)));
+  EXPECT_EQ(std::get<quota_query>(*decoded_query).kind, quota_kind::kUpstream);
+  EXPECT_EQ(std::get<quota_query>(*decoded_query).limit_age, query.limit_age);
+  const auto decoded_reply = DecodePeerFrame(BytesOf(EncodePeerFrame(
       quota_reply{.kind = quota_kind::kUpstream, .ticket = 5})));
-  EXPECT_EQ(std::get<quota_reply>(*answered).kind, quota_kind::kUpstream);
+  EXPECT_EQ(std::get<quota_reply>(*decoded_reply).kind, quota_kind::kUpstream);
 }
 
-TEST(peer_frame_test, ALimitWithoutSenseIsRefused) {
+TEST(peer_frame_test, RejectsInvalidLimits) {
   for (const limit_update& item :
        {limit_update{.rate = std::nan("")}, limit_update{.rate = -1},
         limit_update{.rate = 1, .age = duration(-1)},
         limit_update{.rate = 1, .age = duration::max()}}) {
-    heartbeat_frame beat = MakeBeat();
-    beat.limits = {item};
-    EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(beat))).has_value());
+    heartbeat_frame heartbeat = MakeHeartbeat();
+    heartbeat.limits = {item};
+    EXPECT_FALSE(
+        DecodePeerFrame(BytesOf(EncodePeerFrame(heartbeat))).has_value());
   }
-  quota_query ask = MakeAsk();
-  ask.limit_age = duration::max();
-  EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(ask))).has_value());
+  quota_query query = MakeQuotaQuery();
+  query.limit_age = duration::max();
+  EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(query))).has_value());
 }
 
-TEST(peer_frame_test, NewsOfCrashingRequestsComeBack) {
-  heartbeat_frame beat = MakeBeat();
+TEST(peer_frame_test, DecodesCrashAndCompletionReports) {
+  heartbeat_frame heartbeat = MakeHeartbeat();
   const hash128 request{.high = 1, .low = 2};
-  beat.quarantine = {
+  heartbeat.quarantine = {
       .crashes = {{.request = request,
                    .upstream = 3,
                    .age = std::chrono::seconds(4),
                    .took = std::chrono::milliseconds(5)}},
       .completions = {{.request = request, .age = std::chrono::seconds(6)}}};
-  const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(beat)));
+  const auto frame = DecodePeerFrame(BytesOf(EncodePeerFrame(heartbeat)));
   ASSERT_TRUE(frame.has_value());
-  const quarantine_update& news = std::get<heartbeat_frame>(*frame).quarantine;
-  ASSERT_EQ(news.crashes.size(), 1U);
-  EXPECT_EQ(news.crashes[0].request, request);
-  EXPECT_EQ(news.crashes[0].upstream, 3U);
-  EXPECT_EQ(news.crashes[0].age, std::chrono::seconds(4));
-  EXPECT_EQ(news.crashes[0].took, std::chrono::milliseconds(5));
-  ASSERT_EQ(news.completions.size(), 1U);
-  EXPECT_EQ(news.completions[0].request, request);
-  EXPECT_EQ(news.completions[0].age, std::chrono::seconds(6));
+  const quarantine_update& update =
+      std::get<heartbeat_frame>(*frame).quarantine;
+  ASSERT_EQ(update.crashes.size(), 1U);
+  EXPECT_EQ(update.crashes[0].request, request);
+  EXPECT_EQ(update.crashes[0].upstream, 3U);
+  EXPECT_EQ(update.crashes[0].age, std::chrono::seconds(4));
+  EXPECT_EQ(update.crashes[0].took, std::chrono::milliseconds(5));
+  ASSERT_EQ(update.completions.size(), 1U);
+  EXPECT_EQ(update.completions[0].request, request);
+  EXPECT_EQ(update.completions[0].age, std::chrono::seconds(6));
 
-  beat.quarantine.completions[0].age = duration(-1);
-  EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(beat))).has_value());
-  beat.quarantine.completions.clear();
-  beat.quarantine.crashes[0].took = duration::max();
-  EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(beat))).has_value());
+  heartbeat.quarantine.completions[0].age = duration(-1);
+  EXPECT_FALSE(
+      DecodePeerFrame(BytesOf(EncodePeerFrame(heartbeat))).has_value());
+  heartbeat.quarantine.completions.clear();
+  heartbeat.quarantine.crashes[0].took = duration::max();
+  EXPECT_FALSE(
+      DecodePeerFrame(BytesOf(EncodePeerFrame(heartbeat))).has_value());
 }
 
-// One number that is none would stay in an owner's bucket for good.
-TEST(peer_frame_test, AQuotaQuestionWithoutSenseIsRefused) {
-  quota_query ask = MakeAsk();
-  ask.weight = std::nan("");
-  EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(ask))).has_value());
-  ask = MakeAsk();
-  ask.limit.rate = -1;
-  EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(ask))).has_value());
-  ask = MakeAsk();
-  ask.last_level->level = -std::numeric_limits<double>::infinity();
-  EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(ask))).has_value());
+// Guards against a NaN or an infinity that would remain in an owner's token
+// bucket for good.
+TEST(peer_frame_test, RejectsInvalidQuotaQueries) {
+  quota_query query = MakeQuotaQuery();
+  query.weight = std::nan("");
+  EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(query))).has_value());
+  query = MakeQuotaQuery();
+  query.limit.rate = -1;
+  EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(query))).has_value());
+  query = MakeQuotaQuery();
+  query.last_level->level = -std::numeric_limits<double>::infinity();
+  EXPECT_FALSE(DecodePeerFrame(BytesOf(EncodePeerFrame(query))).has_value());
 }
 
-/// A beat that tells of \p members.
-heartbeat_frame TellsOf(std::vector<member_update> members) {
+/// Returns a heartbeat with the member updates \p members.
+heartbeat_frame WithMembers(std::vector<member_update> members) {
   const endpoint address{"10.0.0.1", 7};
   return {.sender = {.name = "a",
                      .peer_address = address,
@@ -281,14 +290,14 @@
           .members = std::move(members)};
 }
 
-std::optional<peer_frame> SendAndReceive(const heartbeat_frame& beat) {
-  const std::string bytes = EncodePeerFrame(beat);
+std::optional<peer_frame> SendAndReceive(const heartbeat_frame& heartbeat) {
+  const std::string bytes = EncodePeerFrame(heartbeat);
   return DecodePeerFrame(
       {reinterpret_cast<const uint8_t*>(bytes.data()), bytes.size()});
 }
 
-TEST(peer_frame_test, NewsOfMembersComeBack) {
-  const member_update lives{.record = {.name = "b",
+TEST(peer_frame_test, DecodesMemberUpdates) {
+  const member_update alive{.record = {.name = "b",
                                        .incarnation = 5,
                                        .version = 3,
                                        .peer_address = {"10.0.0.2", 7},
@@ -296,28 +305,31 @@
                                        .failure_domain = "z",
                                        .link_rate = 20,
                                        .is_ready = true}};
-  const member_update silent{
+  const member_update suspected{
       .record = {.name = "c", .incarnation = 6, .version = 9},
       .is_suspected = true};
-  const auto frame = SendAndReceive(TellsOf({lives, silent}));
+  const auto frame = SendAndReceive(WithMembers({alive, suspected}));
   ASSERT_TRUE(frame.has_value());
-  const auto& beat = std::get<heartbeat_frame>(*frame);
-  EXPECT_TRUE(beat.is_watched);
-  ASSERT_EQ(beat.members.size(), 2U);
-  EXPECT_EQ(beat.members[0].record.caller_address, lives.record.caller_address);
-  EXPECT_EQ(beat.members[0].record.version, 3U);
-  EXPECT_TRUE(beat.members[0].record.is_ready);
-  EXPECT_TRUE(beat.members[1].is_suspected);
-  EXPECT_EQ(beat.members[1].record.version, 9U);
+  const auto& heartbeat = std::get<heartbeat_frame>(*frame);
+  EXPECT_TRUE(heartbeat.is_watched);
+  ASSERT_EQ(heartbeat.members.size(), 2U);
+  EXPECT_EQ(heartbeat.members[0].record.caller_address,
+            alive.record.caller_address);
+  EXPECT_EQ(heartbeat.members[0].record.version, 3U);
+  EXPECT_TRUE(heartbeat.members[0].record.is_ready);
+  EXPECT_TRUE(heartbeat.members[1].is_suspected);
+  EXPECT_EQ(heartbeat.members[1].record.version, 9U);
 }
 
-// A peer that has gone wrong fills the lists of all others.
-TEST(peer_frame_test, NewsOfMembersWithoutSenseAreRefused) {
-  const member_update nowhere{.record = {.name = "b"}};
-  EXPECT_FALSE(SendAndReceive(TellsOf({nowhere})).has_value());
-  const member_update silent{.record = {.name = "c"}, .is_suspected = true};
-  EXPECT_TRUE(SendAndReceive(TellsOf(std::vector(64, silent))).has_value());
-  EXPECT_FALSE(SendAndReceive(TellsOf(std::vector(65, silent))).has_value());
+// Guards against a faulty peer that fills the peer tables of all others.
+TEST(peer_frame_test, RejectsInvalidMemberUpdates) {
+  const member_update without_address{.record = {.name = "b"}};
+  EXPECT_FALSE(SendAndReceive(WithMembers({without_address})).has_value());
+  const member_update suspected{.record = {.name = "c"}, .is_suspected = true};
+  EXPECT_TRUE(
+      SendAndReceive(WithMembers(std::vector(64, suspected))).has_value());
+  EXPECT_FALSE(
+      SendAndReceive(WithMembers(std::vector(65, suspected))).has_value());
 }
 
 }  // namespace
