--- a/include/cuminswitch/Fleet/peer_table.h
+++ b/include/cuminswitch/Fleet/peer_table.h
@@ -111,11 +111,11 @@
   /// Returns a peer that is alive and has items newer than \p revision, or
   /// null. Peers that reach the store are preferred, then those of this
   /// daemon's failure domain; in a partial fleet, where each domain gets the
-  /// items from its own followers, the domain comes first. Among equals \p
-  /// request_number decides, differently for each daemon. If all daemons asked
-  /// the peer with the newest items, it would send the fleet's whole list to
-  /// each of them: 2.9 MB/s at 300 hosts and 3,000 upstreams, most of it to
-  /// other failure domains.
+  /// items from its own followers, the domain comes first. The choice among
+  /// equals depends on \p request_number, and differs between daemons. If all
+  /// daemons asked the peer with the newest items, it would send the fleet's
+  /// whole list to each of them: 2.9 MB/s at 300 hosts and 3,000 upstreams,
+  /// most of it to other failure domains.
   const daemon_record* FindAhead(time_point now,
                                  revision_number revision,
                                  uint64_t request_number) const;
