--- a/include/cuminswitch/Admission/drain_meter.h
+++ b/include/cuminswitch/Admission/drain_meter.h
@@ -1,5 +1,5 @@
 /// \file
-/// Measures how fast a target's requests end.
+/// Measures the rate at which a target's requests complete.
 #ifndef CUMINSWITCH_ADMISSION_DRAIN_METER_H_
 #define CUMINSWITCH_ADMISSION_DRAIN_METER_H_
 
@@ -9,23 +9,24 @@
 
 namespace cuminswitch {
 
-/// Smoothed completions per second. A waiting request's estimated wait, and
-/// so the `Retry-After` of one that is refused, come from it.
+/// Moving average of completions per second. The estimated wait of a queued
+/// request and the `Retry-After` of a refused one are derived from it.
 class drain_meter {
  public:
   void OnCompletion(time_point now);
-  /// Whether any completion has been seen.
-  bool HasMeasured() const { return started_; }
-  /// Returns completions per second, at least a small positive number.
+  /// Whether any completion has been recorded.
+  bool HasMeasured() const { return has_samples_; }
+  /// Returns completions per second, at least 0.1.
   double RatePerSecond(time_point now) const;
 
  private:
-  void Roll(time_point now);
+  /// Starts a new sample window once the current one has ended.
+  void UpdateWindow(time_point now);
 
   double rate_ = 0;
   uint32_t count_ = 0;
   time_point window_start_{};
-  bool started_ = false;
+  bool has_samples_ = false;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Admission/even_quota_policy.h
+++ b/include/cuminswitch/Admission/even_quota_policy.h
@@ -1,5 +1,5 @@
 /// \file
-/// Quotas in even parts, without a message between daemons.
+/// Quotas split into even shares, without messages between daemons.
 #ifndef CUMINSWITCH_ADMISSION_EVEN_QUOTA_POLICY_H_
 #define CUMINSWITCH_ADMISSION_EVEN_QUOTA_POLICY_H_
 
@@ -10,19 +10,21 @@
 
 namespace cuminswitch {
 
-/// Each daemon gives out its even part of each limit and asks nobody. What a
-/// cut does to it is nothing; it is what a daemon falls back to that reaches no
-/// owner. The price: where a subject's requests gather on few daemons, or
-/// one weighs as much as a daemon's part of some seconds, most are refused that
-/// are below the limit.
+/// Each daemon grants an even share of each limit and queries no other daemon,
+/// so a network partition doesn't affect it. A daemon that reaches no owner
+/// falls back to this policy. Its cost: where a subject's requests concentrate
+/// on a few daemons, or one request weighs as much as a daemon's share of
+/// several seconds, most requests are refused although the subject is below its
+/// limit.
 ///
-/// All daemons that begin at once would each let one request overdraw its part,
-/// so each begins in debt by another part of the first request that it sees.
-/// The sum then holds on average.
+/// Daemons that start together would each let one request overdraw its share.
+/// So each bucket starts in debt by a fraction of its first request; the
+/// fraction differs between daemons, and the sum over the fleet stays within
+/// the limit on average.
 class even_quota_policy : public quota_policy {
  public:
   struct options {
-    /// Differs between daemons.
+    /// Selects the initial debts; differs between daemons.
     uint64_t seed = 0;
   };
 
@@ -31,22 +33,27 @@
   void SetFleet(time_point now, const quota_fleet_view& fleet) override;
   void Admit(time_point now, const quota_request& item) override;
   void Charge(time_point now, const quota_request& item) override;
-  void OnQuery(time_point /*now*/, const quota_query& /*ask*/) override {}
-  void OnReply(time_point /*now*/, const quota_reply& /*verdict*/) override {}
+  void OnQuery(time_point /*now*/, const quota_query& /*query*/) override {}
+  void OnReply(time_point /*now*/, const quota_reply& /*reply*/) override {}
   void OnTick(time_point now) override;
 
  private:
-  struct part {
+  /// This daemon's share of one subject's quota.
+  struct subject_share {
     quota_bucket bucket;
+    /// Limit of the whole fleet.
     quota_limit limit;
     time_point used_at{};
   };
 
-  part& Find(time_point now, const quota_request& item);
+  /// Returns the share of \p item's subject, created and updated as needed.
+  subject_share& Find(time_point now, const quota_request& item);
 
   options options_;
-  size_t known_ = 1;
-  std::unordered_map<uint64_t, part> parts_;
+  /// Number of daemons that divide each limit.
+  size_t daemon_count_ = 1;
+  /// By subject.
+  std::unordered_map<uint64_t, subject_share> shares_;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Admission/load_shedder.h
+++ b/include/cuminswitch/Admission/load_shedder.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which requests a fleet that is asked for too much refuses.
+/// Decides which requests an overloaded fleet refuses.
 #ifndef CUMINSWITCH_ADMISSION_LOAD_SHEDDER_H_
 #define CUMINSWITCH_ADMISSION_LOAD_SHEDDER_H_
 
@@ -10,34 +10,37 @@
 
 namespace cuminswitch {
 
-/// What one request expects, at the upstream that suits it best.
+/// The expected wait of one request at its best upstream, and how much of it
+/// the caller tolerates.
 struct shedding_query {
-  /// Since it arrived.
+  /// Time since the request arrived.
   duration waited{0};
-  /// From now to its first byte.
+  /// Expected time from now to the first byte of the response.
   duration expected{0};
-  /// Until when a first byte is worth everything, from the arrival.
+  /// Target for the time from arrival to first byte: a response within it
+  /// counts in full. 0 where the route has no target.
   duration target{0};
-  /// After this long without a byte its caller leaves, from the arrival.
+  /// Time from arrival after which the caller disconnects if it has received no
+  /// byte; 0 where it is unknown.
   duration caller_idle_timeout{0};
   priority_class priority = priority_class::kStandard;
 };
 
-/// Answers a load that is above what the upstreams can compute. Every request
-/// that is taken then waits as long as all before it, so that all are late, and
-/// from some point on all callers leave before their answer: what is computed
-/// then is lost. Refusing a part keeps the queue as short as the rest can bear.
+/// Returns the probability, from 0 to 1, with which the request is refused.
 ///
-/// Less urgent requests go first. The chance grows with the wait instead of
-/// jumping, because all daemons see the same queues, and would refuse all
-/// together and then none.
+/// Handles a load above the capacity of the upstreams. If every request is
+/// accepted then, each waits for all before it, so that all are late; from some
+/// point on, callers disconnect before the response, and the computation is
+/// wasted. Refusing some requests keeps the queue short enough for the others.
 ///
-/// \returns how likely the request is to be refused, from 0 to 1.
-double RefusalChance(const shedding_query& question);
-
-/// When a refused request may come back: the queue it met has shrunk to what a
-/// request like it can bear by then, if the load does not grow.
-duration RefusedRetryAfter(const shedding_query& question);
+/// Less urgent requests are refused first. The probability grows with the wait
+/// instead of jumping from 0 to 1, because all daemons see the same queues and
+/// would alternate between refusing every request and none.
+double RefusalChance(const shedding_query& query);
+
+/// Returns the `Retry-After` of a refused request: the time until the queue has
+/// shrunk to the request's target, if the load does not grow.
+duration RefusedRetryAfter(const shedding_query& query);
 
 }  // namespace cuminswitch
 
--- a/include/cuminswitch/Admission/owner_quota_policy.h
+++ b/include/cuminswitch/Admission/owner_quota_policy.h
@@ -1,5 +1,5 @@
 /// \file
-/// Quotas with one owner for each subject.
+/// Quotas with one owning daemon per subject.
 #ifndef CUMINSWITCH_ADMISSION_OWNER_QUOTA_POLICY_H_
 #define CUMINSWITCH_ADMISSION_OWNER_QUOTA_POLICY_H_
 
@@ -14,57 +14,59 @@
 
 namespace cuminswitch {
 
-/// What is done where nobody can be asked.
+/// What a daemon does when no owner replies.
 enum class quota_fallback : uint8_t {
-  /// The daemon gives out an even part of the limit.
+  /// It grants an even share of the limit.
   kEvenShare,
-  /// Nothing is taken: where a limit is a few requests a second, the parts of
-  /// many daemons, of one request each at least, add up to many times of it.
+  /// It refuses all requests. Used where a limit is a few requests per second:
+  /// the shares of many daemons, of at least one request each, would add up to
+  /// many times the limit.
   kRefuse,
 };
 
-/// Each subject (a workspace, or an upstream that names a limit) has an owner,
-/// the first of the living daemons by rendezvous hashing, which all work out
-/// alike. It is asked about every request, which takes one round trip within
-/// the region, 1 to 3 ms. News that ride on beats are half a second old: a
-/// subject that begins to send ten times its limit uses five seconds' worth of
-/// it by then, and a part for each daemon is less than one long prompt.
+/// Each subject (a workspace, or an upstream that advertises a limit) has an
+/// owner: the first of the alive daemons by rendezvous hashing, which each
+/// daemon computes by itself. The owner is queried for every request, at the
+/// cost of one round trip within the region, 1 to 3 ms. Usage reports in
+/// heartbeats are no substitute: they are half a second old, and a subject that
+/// starts to send ten times its limit uses five seconds' worth of it by then.
+/// Neither are even shares, which are less than one long prompt.
 ///
-/// What goes wrong, and what is done:
-/// - The owner dies or cannot be reached. One notices by its silence. The next
-///   in the order is asked, and is told what the last one had left.
-/// - Daemons take different ones for the owner, for as long as they have
-///   different news of who lives. One that does not take itself for the owner
-///   hands the question on.
-/// - Daemons are cut off from one another and each side has an owner. An owner
-///   gives out only what falls to the daemons that it sees, out of all that the
-///   deployment has, and takes in the part of those that come back only when
-///   they too have noticed.
-/// - An owner is cut off and does not know it yet. Who takes its place gives
-///   out a quarter until it must have noticed.
-/// - An owner comes back while some still ask the one that stood in for it. It
-///   gives out half until all have noticed.
-/// - The owner stops, and serves on for seconds. It passes itself over at
-///   once, as the others do.
-/// - Nobody answers. Without a fallback nothing is taken. Else a request is
-///   taken if the subject had half of its burst left within the last two
-///   seconds, or out of this daemon's even part; the owner that is reached next
-///   is told how much that was.
-/// - All daemons were killed and know nothing. An owner begins with half a
-///   second's worth.
+/// Failures and how they are handled:
+/// - The owner fails or is unreachable, which shows as a missing reply. The
+///   next daemon in the order is queried, with the level that the last owner
+///   reported.
+/// - Daemons disagree on the owner while their views of the alive daemons
+///   differ. A daemon that is not the owner in its own view forwards the query.
+/// - A network partition leaves an owner on each side. An owner grants only the
+///   share of the daemons that it sees alive among all of the deployment. After
+///   the partition heals, it adds the share of the daemons that return only
+///   once they must have noticed it as well.
+/// - An owner is partitioned and does not know it yet. The daemon that takes
+///   over grants a quarter until the old owner must have noticed.
+/// - An owner restarts while some daemons still query the one that took over.
+///   It grants half until all have noticed.
+/// - An owner shuts down gracefully and serves requests for some more seconds.
+///   It excludes itself as an owner at once, as the other daemons do.
+/// - No owner replies. With `quota_fallback::kRefuse`, all requests are
+///   refused. Otherwise a request is admitted if the subject had half of its
+///   burst left within the last two seconds, or else out of this daemon's even
+///   share. The next owner that replies receives a report of these units.
+/// - All daemons were killed and have no state. An owner starts with the units
+///   of half a second.
 class owner_quota_policy : public quota_policy {
  public:
   struct options {
     endpoint self;
-    /// Tells this start of the daemon from all others.
+    /// Unique to this start of the daemon.
     uint64_t id = 0;
     quota_kind kind = quota_kind::kWorkspace;
-    /// What becomes of a request while no owner answers.
+    /// How requests are decided while no owner replies.
     quota_fallback fallback = quota_fallback::kEvenShare;
   };
 
-  /// A daemon that has just started takes so long to hear of most others: beats
-  /// reach everybody at 68 hosts within 0.6 s.
+  /// Time after which a newly started daemon has received heartbeats from most
+  /// others; on 68 hosts they reach all within 0.6 s.
   static constexpr duration kWarmUpTime = std::chrono::milliseconds(1'500);
 
   explicit owner_quota_policy(const options& opts);
@@ -72,83 +74,102 @@
   void SetFleet(time_point now, const quota_fleet_view& fleet) override;
   void Admit(time_point now, const quota_request& item) override;
   void Charge(time_point now, const quota_request& item) override;
-  void OnQuery(time_point now, const quota_query& ask) override;
-  void OnReply(time_point now, const quota_reply& verdict) override;
+  void OnQuery(time_point now, const quota_query& query) override;
+  void OnReply(time_point now, const quota_reply& reply) override;
   void OnTick(time_point now) override;
 
  private:
-  struct pending {
+  /// A query without a reply yet.
+  struct pending_query {
     quota_request item;
-    endpoint asked;
-    time_point asked_at{};
+    endpoint owner;
+    time_point sent_at{};
+    /// Queries sent so far for the request.
     uint32_t attempts = 0;
   };
-  struct told_level {
+  /// The level of a subject as its owner last reported it.
+  struct cached_level {
     uint64_t owner = 0;
     double level = 0;
     time_point at{};
   };
+  /// A daemon that may own subjects.
   struct candidate {
     endpoint address;
     uint64_t hash = 0;
   };
-  struct lost_daemon {
-    candidate who;
+  struct failed_daemon {
+    candidate daemon;
+    /// When this daemon removed it from its candidates.
     time_point at{};
   };
-  struct seen_part {
+  /// Share of the fleet's daemons that were seen alive from a time on.
+  struct alive_share {
     time_point from{};
-    double part = 0;
+    double share = 0;
   };
 
-  /// The first daemon in the order that is not known to be silent.
+  /// Returns the first daemon in the rendezvous order that is not marked as
+  /// unresponsive.
   const endpoint& FindOwner(time_point now, uint64_t subject) const;
-  /// The part of the limit that this daemon gives out as an owner.
-  double Share(time_point now, uint64_t subject) const;
-  /// Whether a daemon that fell silent just now, and may not know it, is before
-  /// this one in the order.
-  bool StandsIn(time_point now, uint64_t subject) const;
-  /// Keeps those that are here and not among \p next.
-  void NoteLost(time_point now, std::span<const candidate> next);
-  /// Of that, what it gives out while another may give out too.
-  double PartAsOwner(time_point now, uint64_t subject) const;
-  /// The least part of the fleet that was seen of late.
-  double SeenPart(time_point now) const;
-  quota_query MakeAsk(time_point now, const quota_request& item) const;
-  /// Reports \p weight units of \p item's subject, and asks nothing.
+  /// Returns the share of the limit that this daemon grants to those that query
+  /// it, from 0 to 1.
+  double GrantedShare(time_point now, uint64_t subject) const;
+  /// Whether a daemon that precedes this one in the order failed within the
+  /// convergence time. If it is only partitioned, it may still grant units.
+  bool HasTakenOver(time_point now, uint64_t subject) const;
+  /// Records the candidates that are not among \p next as failed.
+  void RecordFailed(time_point now, std::span<const candidate> next);
+  /// Returns the factor by which the owner reduces its share while another
+  /// daemon may grant units of the subject as well; 1 otherwise.
+  double OwnerFactor(time_point now, uint64_t subject) const;
+  /// Returns the smallest share of the fleet that was seen alive within the
+  /// convergence time.
+  double MinAliveShare(time_point now) const;
+  quota_query MakeQuery(time_point now, const quota_request& item) const;
+  /// Makes a query that reports \p weight units of \p item's subject and needs
+  /// no reply.
   quota_query MakeReport(time_point now,
                          const quota_request& item,
                          double weight) const;
-  void Send(time_point now, pending asked);
-  void DecideHere(time_point now, const quota_request& item);
-  /// Nobody answers.
-  void DecideAlone(time_point now, const quota_request& item);
-  void Note(time_point now, uint64_t subject, const quota_reply& verdict);
-  /// Tells an owner that answers what was taken without one.
-  void ReportTaken(time_point now,
-                   const quota_request& item,
-                   const endpoint& owner);
+  /// Sends the query to the subject's owner, or decides if that is this daemon.
+  void Send(time_point now, pending_query pending);
+  /// Decides as the owner of the subject.
+  void DecideAsOwner(time_point now, const quota_request& item);
+  /// Decides by the fallback, since no owner replied.
+  void DecideWithoutOwner(time_point now, const quota_request& item);
+  /// Caches the level in an owner's reply.
+  void CacheLevel(time_point now, uint64_t subject, const quota_reply& reply);
+  /// Reports the units that were admitted without an owner to \p owner.
+  void ReportUnreported(time_point now,
+                        const quota_request& item,
+                        const endpoint& owner);
 
   candidate self_;
   quota_owner owner_;
   quota_kind kind_;
   quota_fallback fallback_;
-  even_quota_policy own_part_;
+  even_quota_policy even_policy_;
   std::vector<candidate> candidates_;
-  /// Those that lived until just now.
-  std::vector<lost_daemon> lost_;
-  size_t known_ = 1;
-  duration notice_time_{0};
-  /// Parts of the fleet that lived, as far as was known; the latest one last.
-  std::vector<seen_part> seen_;
+  /// Daemons that failed within the convergence time.
+  std::vector<failed_daemon> recently_failed_;
+  /// Daemons of the deployment that are possibly active.
+  size_t daemon_count_ = 1;
+  duration convergence_time_{0};
+  /// Shares of the fleet seen alive, the latest one last.
+  std::vector<alive_share> alive_shares_;
+  /// Time of the first call of `SetFleet`.
   std::optional<time_point> started_at_;
-  std::map<endpoint, time_point> silent_until_;
-  /// When each owner last answered.
-  std::map<endpoint, time_point> heard_at_;
-  std::unordered_map<uint64_t, pending> pending_;
-  std::unordered_map<uint64_t, told_level> told_;
-  /// By subject, units that were taken without an owner and that none was
-  /// told of.
+  /// Owners that did not reply, and until when they are skipped.
+  std::map<endpoint, time_point> unresponsive_until_;
+  /// When each owner last replied.
+  std::map<endpoint, time_point> last_reply_at_;
+  /// By ticket.
+  std::unordered_map<uint64_t, pending_query> pending_;
+  /// By subject.
+  std::unordered_map<uint64_t, cached_level> cached_levels_;
+  /// By subject, units that were admitted without an owner and not yet reported
+  /// to one.
   std::unordered_map<uint64_t, double> unreported_;
 };
 
--- a/include/cuminswitch/Admission/quota_bucket.h
+++ b/include/cuminswitch/Admission/quota_bucket.h
@@ -1,5 +1,5 @@
 /// \file
-/// What is left of one workspace's quota.
+/// Token bucket for the quota of one subject.
 #ifndef CUMINSWITCH_ADMISSION_QUOTA_BUCKET_H_
 #define CUMINSWITCH_ADMISSION_QUOTA_BUCKET_H_
 
@@ -10,27 +10,28 @@
 
 namespace cuminswitch {
 
-/// Answers a workspace that sends more than its quota, so that others are
-/// served as if it did not.
+/// Limits a workspace to its quota, so that an excess of one workspace doesn't
+/// affect others.
 ///
-/// A token bucket that may be overdrawn by one request: a request is taken
-/// while anything is left, whatever it weighs. One that weighs more than the
-/// whole burst would never be taken otherwise, and the rate holds all the same,
-/// since the debt is paid before the next one is taken.
+/// A token bucket that may be overdrawn by one request: a request is admitted
+/// while any units are left, whatever its weight. Otherwise a request that
+/// weighs more than the whole burst would never be admitted. The rate still
+/// holds, since the debt is paid before the next request is admitted.
 ///
-/// Whoever is refused is promised a place: the units that the refused wait for
-/// are kept from those that come later. Without that, newcomers take what was
-/// there by the time that was told, and a caller who kept to its Retry-After is
-/// refused again. Not all come back, so only the share that did of late is
-/// kept.
+/// A refused request gets a reservation: the units it waits for are withheld
+/// from later requests. Otherwise new requests use up the units before the
+/// Retry-After has passed, and a caller that observed it is refused again. Not
+/// all callers return, so the reserved units are scaled by the share that
+/// recently did.
 class quota_bucket {
  public:
   struct request {
+    /// Units that the request uses.
     double weight = 0;
-    /// Of what the request is; a repeat has the same one.
+    /// Hash of the request's content; a repeated request has the same one.
     uint64_t digest = 0;
-    /// The longest wait after which its caller would come back. Nothing is
-    /// promised beyond it.
+    /// Longest wait after which the caller would return. Nothing is reserved
+    /// beyond it.
     duration max_wait{0};
   };
   struct decision {
@@ -40,12 +41,12 @@
 
   quota_bucket(time_point now, double level) : filled_at_(now), level_(level) {}
 
-  /// Sets the units a second and the most that is kept of what is not used.
+  /// Sets the refill rate in units per second, and the largest level in units.
   void SetLimit(time_point now, double rate, double burst);
   decision Decide(time_point now, const request& item);
-  /// Takes units without asking; gives them back if \p weight is below 0.
+  /// Deducts units without a decision; returns them if \p weight is below 0.
   void Charge(time_point now, double weight);
-  /// Takes in that there was no more than \p level.
+  /// Lowers the level to \p level if it is higher.
   void LowerTo(time_point now, double level);
   /// Units left; below 0 where the bucket is overdrawn.
   double Level(time_point now);
@@ -53,29 +54,32 @@
   double burst() const { return burst_; }
 
  private:
-  struct promise {
+  /// Units withheld for a refused request whose caller may return.
+  struct reservation {
     uint64_t digest = 0;
     double weight = 0;
+    /// When the request is admitted if it is repeated.
     time_point due{};
   };
 
   void Refill(time_point now);
-  /// Takes in whether the caller of a promise came back.
-  void Learn(bool came_back);
-  /// Units that are kept for those who will come back.
-  double Kept() const { return promised_ * return_share_; }
-  /// The refused request's turn comes when all before it have their units.
+  /// Updates the share of returning callers by one caller.
+  void RecordReturn(bool came_back);
+  /// Returns the units withheld for callers that are expected to return.
+  double ReservedUnits() const { return reserved_weight_ * return_share_; }
+  /// Refuses the request, and reserves its units for the time when the requests
+  /// with earlier reservations have theirs.
   decision Refuse(time_point now, const request& item);
 
   double rate_ = 0;
   double burst_ = 0;
   time_point filled_at_;
   double level_;
-  /// In the order of their turns.
-  std::vector<promise> promises_;
-  /// The sum of their weights.
-  double promised_ = 0;
-  /// Of those who were promised a place, how many came for it of late.
+  /// Ordered by the time at which they were made.
+  std::vector<reservation> reservations_;
+  /// Sum of the weights of all reservations.
+  double reserved_weight_ = 0;
+  /// Moving average of the share of reservations whose callers returned.
   double return_share_ = 1;
 };
 
--- a/include/cuminswitch/Admission/quota_policy.h
+++ b/include/cuminswitch/Admission/quota_policy.h
@@ -1,5 +1,6 @@
 /// \file
-/// How a fleet without a coordinator keeps to the quotas of its subjects.
+/// Interface of the policies that enforce quotas over a fleet without a
+/// coordinator.
 #ifndef CUMINSWITCH_ADMISSION_QUOTA_POLICY_H_
 #define CUMINSWITCH_ADMISSION_QUOTA_POLICY_H_
 
@@ -17,77 +18,82 @@
 
 /// A caller's request that counts against a quota.
 struct quota_request {
-  /// The asker's name for it; not 0.
+  /// Identifies the request at whoever submits it; not 0.
   uint64_t ticket = 0;
   /// Hash of the subject's name.
   uint64_t subject = 0;
   quota_limit limit;
-  /// Since the limit was heard of, where that tells which one is newer.
+  /// Time since the limit was received, where it determines which limit is
+  /// newer.
   duration limit_age{0};
-  /// Units that it takes.
+  /// Units that the request uses.
   double weight = 0;
-  /// Of what it is; a repeat has the same one.
+  /// Hash of the request's content; a repeated request has the same one.
   uint64_t digest = 0;
-  /// The longest wait after which its caller would come back.
+  /// Longest wait after which the caller would return.
   duration max_wait{0};
 };
 
-/// Who decided about a request.
+/// Who decided about a request, and by what.
 enum class quota_source : uint8_t {
   /// The subject's owner, another daemon.
   kOwner,
   /// This daemon, as the owner.
   kSelf,
-  /// This daemon by what an owner told it just before.
+  /// This daemon, by the level that an owner recently reported; no owner was
+  /// reached.
   kCached,
-  /// This daemon by its own part of the limit; no owner was reached.
+  /// This daemon, by its local share of the limit; no owner was reached.
   kLocalShare,
-  /// Nobody: no owner was reached.
+  /// Refused, since no owner was reached and there is no fallback.
   kNone,
 };
 
 std::string_view ToString(quota_source source);
 
-/// What became of a `quota_request`.
+/// The decision about a `quota_request`.
 struct quota_decision {
   uint64_t ticket = 0;
   bool is_admitted = false;
   duration retry_after{0};
   quota_source source = quota_source::kOwner;
-  /// Units left as the decider knew it, and how old that is.
+  /// Units left, as known to the daemon that decided; may be below 0.
   double level = 0;
+  /// Age of `level`.
   duration age{0};
-  /// Of the limit, what the decider gives out.
+  /// Share of the limit that the daemon that decided grants, from 0 to 1.
   double share = 1;
 };
 
-/// What a daemon knows of the others.
+/// A daemon's view of the fleet.
 struct quota_fleet_view {
-  /// The others that live.
+  /// The other daemons that are alive.
   std::span<const endpoint> alive;
-  /// Daemons of the deployment that may be at work, silent ones and this one
-  /// included.
+  /// Number of possibly active daemons of the deployment, unresponsive ones and
+  /// this one included.
   size_t known = 1;
-  /// Within this time of a change all know of it.
+  /// Time within which all daemons have seen a change.
   duration convergence_time = std::chrono::seconds(3);
-  /// This daemon stops, and the others pass it over.
+  /// Whether this daemon is shutting down, so that others don't take it for an
+  /// owner.
   bool is_leaving = false;
 };
 
 /// Decides which requests are within their subjects' quotas. Has no clock and
-/// does no I/O: what it decides and what it has to say is taken from it.
+/// does no I/O: its caller takes decisions and messages from it.
 class quota_policy {
  public:
   virtual ~quota_policy() = default;
 
   virtual void SetFleet(time_point now, const quota_fleet_view& fleet) = 0;
-  /// Decides about a request, now or when a peer has answered.
+  /// Decides about a request, either at once or after a peer's reply.
   virtual void Admit(time_point now, const quota_request& item) = 0;
-  /// Reports that an admitted request used more, or, below 0, less.
+  /// Reports that an admitted request used `item.weight` units more than
+  /// admitted, or fewer where it is below 0.
   virtual void Charge(time_point now, const quota_request& item) = 0;
-  virtual void OnQuery(time_point now, const quota_query& ask) = 0;
-  virtual void OnReply(time_point now, const quota_reply& verdict) = 0;
-  /// Called some times a second.
+  virtual void OnQuery(time_point now, const quota_query& query) = 0;
+  virtual void OnReply(time_point now, const quota_reply& reply) = 0;
+  /// Handles timeouts; called several times per second.
   virtual void OnTick(time_point now) = 0;
 
   std::vector<quota_decision> TakeDecisions() {
--- a/include/cuminswitch/Admission/request_quarantine.h
+++ b/include/cuminswitch/Admission/request_quarantine.h
@@ -1,5 +1,5 @@
 /// \file
-/// Keeps requests that crash upstreams away from them.
+/// Quarantines requests that crash the upstreams that run them.
 #ifndef CUMINSWITCH_ADMISSION_REQUEST_QUARANTINE_H_
 #define CUMINSWITCH_ADMISSION_REQUEST_QUARANTINE_H_
 
@@ -19,99 +19,108 @@
 
 namespace cuminswitch {
 
-/// Remembers which requests were being run at upstreams that crashed, and
-/// quarantines a request under which one crashes after the other. It answers
-/// the load of one request that comes again and again, at any daemon, and
-/// crashes each upstream that begins to run it; all others that run there break
-/// off with it.
+/// Records which requests were running at upstreams that crashed, and
+/// quarantines a request under which several upstreams crash one after the
+/// other. It handles a request that is sent again and again, to any daemon, and
+/// crashes each upstream that starts to run it, which also aborts all other
+/// requests running there.
 ///
-/// What daemons know are pairs of a request and the start of an upstream. Such
-/// a set only grows, so that news may come late, twice and in any order, and
-/// daemons pass on what adds up: a witness may be gone the next moment.
+/// The shared state is a set of pairs of a request and a start of an upstream.
+/// The set only grows, so updates may arrive late, twice and in any order.
+/// Daemons relay crashes reported by peers once several are known for a
+/// request: the daemon that observed one may fail at any moment.
 ///
-/// A broken run counts as a crash at once, since proof would come after the
-/// next attempt of a fast caller. Four things speak for a request:
-/// - Its runs overlapped: several upstreams may crash at once for another
-///   reason, and many callers may send the same.
-/// - The upstream answers later under the same start: it only lost a
-///   connection.
+/// An execution that ends without a response counts as a crash at once, since
+/// proof would come only after the next attempt of a fast caller. Four findings
+/// clear a request:
+/// - Its executions overlapped: several upstreams may crash at once for another
+///   reason, and many callers may send the same request.
+/// - The upstream responds later under the same start: only a connection was
+///   lost.
 /// - Another request that was running there is quarantined, which explains the
 ///   crash.
-/// - A run that was sent later came to its end.
+/// - An execution that was sent later completed.
 class request_quarantine {
  public:
   struct options {
-    /// Keep events for `TakeEvents`.
+    /// Whether to collect events for `TakeEvents`.
     bool keeps_events = false;
   };
 
-  /// How long a crash counts, and with it a quarantine lasts.
+  /// How long a crash counts. A quarantine lasts as long after the last crash.
   static constexpr duration kQuarantineTime = std::chrono::minutes(10);
 
   request_quarantine() = default;
   explicit request_quarantine(const options& opts) : options_(opts) {}
 
-  /// A run of this daemon, of \p request at \p upstream, that was sent at
-  /// \p sent, broke off.
+  /// Records that this daemon's execution of \p request at \p upstream, sent at
+  /// \p sent, ended without a response.
   void OnCrash(time_point now,
                const hash128& request,
                uint64_t upstream,
                time_point sent);
-  /// A run of \p request that was sent at \p sent came to its end.
+  /// Records that an execution of \p request, sent at \p sent, completed.
   void OnCompleted(time_point now, const hash128& request, time_point sent);
-  /// Takes in what a peer knows.
-  void OnUpdate(time_point now, const quarantine_update& news);
-  /// Takes in which requests the store lists as quarantined.
+  /// Applies a peer's update.
+  void OnUpdate(time_point now, const quarantine_update& update);
+  /// Applies the store's list of quarantined requests.
   void OnStored(time_point now, std::span<const hash128> requests);
-  /// \p upstream answered an attempt that was sent at \p sent, so it had not
-  /// crashed before.
+  /// Records that \p upstream responded to an attempt sent at \p sent, so it
+  /// had not crashed before.
   void OnAnswered(uint64_t upstream, time_point sent);
-  /// Forgets what does not count any more.
+  /// Removes expired crashes and quarantines.
   void Expire(time_point now);
 
-  /// How long \p request is still quarantined; nothing where it is not.
+  /// Returns how long \p request remains quarantined; nothing where it is not.
   std::optional<duration> TimeLeft(time_point now,
                                    const hash128& request) const;
-  /// Returns what peers should know and this daemon learnt since the last call;
-  /// bounded.
+  /// Returns the changes for peers since the last call, at most 16 crashes and
+  /// 16 completions.
   quarantine_update TakeUpdate(time_point now);
-  /// The crashes of quarantined requests, which peers may have missed; bounded.
+  /// Returns crashes of quarantined requests, for peers that missed the update;
+  /// at most 16.
   std::vector<crash_report> ListActiveCrashes(time_point now) const;
-  /// Quarantined requests under which this daemon saw a crash itself.
+  /// Returns the quarantined requests under which this daemon itself observed a
+  /// crash.
   std::vector<quarantine_record> ListOwn(time_point now) const;
-  /// What changed by this daemon's own runs, and which requests are
-  /// quarantined.
+  /// Returns the changes since the last call: new quarantines, and those caused
+  /// by this daemon's own executions.
   std::vector<quarantine_event> TakeEvents() {
     return std::exchange(events_, {});
   }
-  /// As of the last call of `Expire`, with those that came since.
+  /// Returns the number of quarantined requests. Those that ended since the
+  /// last call of `Expire` are included.
   size_t CountQuarantined() const { return quarantined_.size(); }
-  /// Requests under which an upstream crashed, quarantined ones included.
+  /// Returns the number of requests under which an upstream crashed,
+  /// quarantined ones included.
   size_t size() const { return suspects_.size(); }
 
  private:
   struct crash {
     uint64_t upstream = 0;
+    /// When the execution was sent, and when it ended.
     time_point sent{};
     time_point at{};
-    bool is_first_hand = false;
-    /// It was none, or not the request's doing. Kept, so that news of it do not
-    /// count either.
+    /// Whether this daemon observed it itself.
+    bool is_local = false;
+    /// Whether it turned out to be no crash, or not caused by the request. Such
+    /// entries stay, so that later reports of them don't count either.
     bool is_cleared = false;
   };
   struct suspect {
-    /// By the time at which they broke off.
+    /// Ordered by `crash::at`.
     std::vector<crash> crashes;
-    /// When the last run that came to its end was sent.
+    /// When the latest execution that completed was sent.
     time_point completed_sent{};
-    /// Until when the store's word holds.
+    /// End of the quarantine that the store listed.
     time_point stored_until{};
 
+    /// Whether the crash counts towards a quarantine.
     bool Counts(const crash& item) const {
       return !item.is_cleared && item.at >= completed_sent;
     }
     size_t CountCrashes() const;
-    /// The most of them that follow one another without overlapping.
+    /// Returns the largest number of crashes whose executions don't overlap.
     size_t CountInSequence() const;
     bool HasCrashedEnough() const;
     time_point QuarantinedUntil() const;
@@ -126,43 +135,45 @@
     time_point sent{};
   };
 
-  void Add(time_point now, const hash128& request, const crash& seen);
-  /// Returns what is known of \p request, which may be nothing yet.
-  suspect& Touch(time_point now, const hash128& request);
-  /// Forgets the oldest that is not quarantined if there are too many.
-  void MakeRoom(time_point now);
-  /// Notes that a run that was sent at \p sent came to its end.
-  void Complete(time_point now,
-                const hash128& request,
-                time_point sent,
-                crash_source source);
-  /// The request has become quarantined.
+  void AddCrash(time_point now, const hash128& request, const crash& seen);
+  /// Returns the entry of \p request, created if it is new.
+  suspect& FindOrCreate(time_point now, const hash128& request);
+  /// Evicts the oldest suspects that are not quarantined if there are too many.
+  void EvictOldest(time_point now);
+  /// Records that an execution sent at \p sent completed.
+  void RecordCompletion(time_point now,
+                        const hash128& request,
+                        time_point sent,
+                        crash_source source);
+  /// Lists the request as quarantined.
   void OnQuarantined(const hash128& request,
                      const suspect& item,
                      crash_source source);
-  /// Clears other requests of the crashes of \p request, which is quarantined.
+  /// Clears other requests of the crashes that the quarantined \p request
+  /// explains.
   void ExplainCrashes(const hash128& request);
-  /// Keeps a crash for the peers.
-  void Tell(const hash128& request, const crash& seen);
-  void Note(quarantine_event::kind what,
-            const hash128& request,
-            const suspect& item,
-            crash_source source);
+  /// Queues a crash for the next update to peers.
+  void QueueReport(const hash128& request, const crash& seen);
+  void RecordEvent(quarantine_event::kind what,
+                   const hash128& request,
+                   const suspect& item,
+                   crash_source source);
 
   options options_;
   std::unordered_map<hash128, suspect, hash128_hasher> suspects_;
-  /// The suspects, the oldest first; some may be forgotten already.
+  /// The suspects, the oldest first; some may have been removed already.
   std::deque<hash128> order_;
-  /// Upstreams at which a crash was seen that counts; some that do not any more
-  /// may be among them until the next `Expire`.
+  /// Upstreams with a crash that counts; until the next `Expire`, also some
+  /// whose crashes no longer count.
   std::unordered_set<uint64_t> crashed_;
-  /// Upstreams that crashed under requests that are quarantined.
+  /// Upstreams that crashed under quarantined requests.
   std::unordered_set<uint64_t> explained_;
-  /// Quarantined requests; some that are not any more may be among them until
-  /// the next `Expire`. They are few, and asked for all the time.
+  /// Quarantined requests; until the next `Expire`, also some whose quarantine
+  /// has ended. Kept as a list of their own, since they are few and looked up
+  /// often.
   std::vector<hash128> quarantined_;
   std::vector<quarantine_event> events_;
-  /// What `TakeNews` returns next.
+  /// What `TakeUpdate` returns next.
   std::vector<pending_crash> pending_crashes_;
   std::vector<pending_completion> pending_completions_;
 };
--- a/include/cuminswitch/Admission/retry_budget.h
+++ b/include/cuminswitch/Admission/retry_budget.h
@@ -1,5 +1,5 @@
 /// \file
-/// Bounds retries to a share of the traffic.
+/// Limits retries to a share of the traffic.
 #ifndef CUMINSWITCH_ADMISSION_RETRY_BUDGET_H_
 #define CUMINSWITCH_ADMISSION_RETRY_BUDGET_H_
 
@@ -11,18 +11,19 @@
 
 namespace cuminswitch {
 
-/// Each first attempt earns a part of a retry. When upstreams fail widely the
-/// budget runs dry, so retries cannot multiply the load that broke them.
+/// Each first attempt earns a fraction of a retry. When many upstreams fail,
+/// the budget is exhausted, so retries cannot multiply the load that caused the
+/// failures.
 ///
 /// In any window the retries are at most `burst` plus `share` of the first
-/// attempts in the window that ends with the last of them, so a bound over the
-/// fleet holds when each daemon has its part of the burst. A process that has
-/// just started earns, and has no part of the burst until a window has passed:
-/// the one before it on this host may have spent that part just now, and how
-/// many daemons divide the burst may not be known yet. What was earned in
-/// the window may be spent at once: one crash takes away the answers of some
-/// seconds, and of 63 daemons with a bucket of two retries each, most had none
-/// left for the second of them.
+/// attempts in the window that ends with the last of these retries. A bound
+/// over the fleet therefore holds if each daemon has its share of the burst. A
+/// newly started process earns retries, but has no share of the burst until a
+/// window has passed: the previous process on this host may just have spent
+/// that share, and the number of daemons that divide the burst may not be known
+/// yet. Retries earned within the window may be spent at once: one crash loses
+/// the responses of some seconds. Of 63 daemons with a token bucket of two
+/// retries each, most had none left for the second crash.
 class retry_budget {
  public:
   struct options {
@@ -33,52 +34,55 @@
     double burst = 20;
     /// Whether the daemons of the fleet divide the burst among them.
     bool is_shared = false;
-    /// When the process started; nothing where no earlier one can have spent
-    /// the burst.
+    /// When the process started; nothing where no earlier process can have
+    /// spent the burst.
     std::optional<time_point> started_at;
-    /// The span in which retries are held against first attempts.
+    /// Length of the window in which retries are compared with first attempts.
     duration window = std::chrono::seconds(10);
   };
 
   explicit retry_budget(const options& opts);
 
-  /// What a window allows, and what of that is spent.
+  /// Retries spent and allowed in the current window.
   struct usage {
     uint32_t retries = 0;
     double allowed = 0;
   };
 
-  /// Sets how many daemons divide the burst. A smaller fleet gives none back,
-  /// since those that left may have spent theirs just now.
+  /// Sets how many daemons divide the burst. A shrinking fleet doesn't increase
+  /// the shares, since the daemons that left may just have spent theirs.
   void SetFleetSize(double size);
   void OnFirstAttempt(time_point now);
-  /// Returns the usage as of the last call with a time.
+  /// Returns the usage at the time of the last call that passed one.
   usage Usage() const;
   /// Whether a retry is left.
   bool CanSpend(time_point now);
-  /// Spends one retry; false when none is left.
+  /// Spends one retry; returns false when none is left.
   bool TrySpend(time_point now);
 
  private:
+  /// Counts of one step of the window.
   struct slot {
     uint32_t first_attempts = 0;
     uint32_t retries = 0;
   };
-  /// The window moves in steps of a twentieth.
+  /// The window moves in steps of a twentieth of its length.
   static constexpr int64_t kSlotsPerWindow = 20;
 
-  /// Number of the slot that \p at lies in.
+  /// Returns the number of the slot that contains \p at.
   int64_t SlotAt(time_point at) const;
+  /// Clears expired slots and returns the one that contains \p now.
   slot& Advance(time_point now);
 
   options options_;
+  /// This daemon's share of the burst, in retries.
   double burst_;
-  /// One more than the window, so that retries are counted over at least a
-  /// window at any moment.
+  /// One slot more than the window has, so that retries are always counted over
+  /// at least a whole window.
   std::array<slot, kSlotsPerWindow + 1> slots_{};
-  /// Number of the newest slot, in steps since the clock's beginning.
+  /// Number of the newest slot, counted from the clock's epoch.
   int64_t newest_ = 0;
-  /// The first slot in which the burst may be spent.
+  /// Number of the first slot in which the burst may be spent.
   int64_t first_with_burst_ = 0;
 };
 
--- a/include/cuminswitch/Admission/upstream_limits.h
+++ b/include/cuminswitch/Admission/upstream_limits.h
@@ -1,5 +1,5 @@
 /// \file
-/// The limits that upstreams have named.
+/// The rate limits that upstreams advertise.
 #ifndef CUMINSWITCH_ADMISSION_UPSTREAM_LIMITS_H_
 #define CUMINSWITCH_ADMISSION_UPSTREAM_LIMITS_H_
 
@@ -15,74 +15,85 @@
 
 namespace cuminswitch {
 
-/// The quota of all daemons at an upstream that takes \p rate requests a
-/// second.
+/// Returns the quota of the whole fleet at an upstream that accepts \p rate
+/// requests per second.
 quota_limit QuotaOfLimit(double rate);
 
-/// Keeps which upstreams are in need and name, in their answers, the requests a
-/// second that they take from all daemons together.
+/// Tracks the rate limits that overloaded upstreams advertise in their
+/// responses, in requests per second from all daemons together.
 ///
-/// Answers on several connections overtake one another, and so does what peers
-/// tell. An answer without a limit that was made before the limit was named
-/// would lift it too soon, and the upstream would get as much as before for as
-/// long as it takes to name it again. So only an answer to a request that was
-/// sent after the latest naming ends a limit.
+/// Responses on several connections overtake one another, and so do updates
+/// from peers. A response without a limit that was made before the limit was
+/// advertised would end it too soon, and the upstream would get its full load
+/// until it advertises the limit again. So a limit ends only by a response to a
+/// request that was sent after the latest response with the limit.
 ///
-/// Peers are told only what this daemon heard from an upstream itself. News
-/// that goes round among daemons would grow younger by the time of each
-/// transfer, and a limit of which no upstream says anything would never end.
+/// By default, peers receive only what this daemon learnt from an upstream
+/// itself. The age of a relayed update shrinks by the time of each transfer, so
+/// an update that circulates among daemons could keep a limit forever that no
+/// upstream advertises any more.
 class upstream_limits {
  public:
-  /// What became known by an answer or by a peer.
+  /// The effect of a response or of a peer's update.
   enum class change : uint8_t { kNothing, kAdded, kChanged, kEnded };
 
-  /// Takes in an answer to a request that was sent at \p sent. One whose limit
-  /// cannot be read changes nothing.
+  /// Applies the notice of a response to a request that was sent at \p sent. An
+  /// unreadable limit changes nothing.
   change OnAnswer(time_point now,
                   uint64_t upstream,
                   time_point sent,
                   const limit_notice& notice);
-  /// Takes in what a peer knows.
-  change OnUpdate(time_point now, const limit_update& news);
-  /// Forgets the limit of an upstream that has started again.
+  /// Applies a peer's update.
+  change OnUpdate(time_point now, const limit_update& update);
+  /// Removes the limit of an upstream that has restarted.
   change Forget(uint64_t upstream);
-  /// Ends limits that no answer has renewed for long; returns their upstreams.
+  /// Ends limits that no response has renewed for long; returns their
+  /// upstreams.
   std::vector<uint64_t> TakeExpired(time_point now);
 
-  /// Requests a second that \p upstream takes; nothing where it names no limit.
+  /// Returns \p upstream's limit in requests per second; nothing where it
+  /// advertises none.
   std::optional<double> Find(uint64_t upstream) const;
-  /// Since the answer that named \p upstream's limit last.
+  /// Returns the time since the last response that advertised \p upstream's
+  /// limit.
   duration Age(time_point now, uint64_t upstream) const;
-  /// What this daemon heard itself and, where \p passes_on, what peers told it,
-  /// the latest change first; bounded.
+  /// Returns what this daemon learnt from upstreams and, where \p relays,
+  /// from peers, the latest change first; at most 64 entries.
   std::vector<limit_update> ListUpdates(time_point now,
-                                        bool passes_on = false) const;
-  /// Limits in force.
+                                        bool relays = false) const;
+  /// Returns the number of limits in force.
   size_t size() const;
 
  private:
-  struct known_limit {
+  struct limit_state {
+    /// Requests per second.
     double rate = 0;
     bool has_ended = false;
-    /// Heard from the upstream, not from a peer.
-    bool is_first_hand = false;
-    /// When the latest answer that says so was made, at the latest.
-    time_point told_at{};
-    /// When what is known last changed.
+    /// Whether it was learnt from the upstream and not from a peer.
+    bool is_local = false;
+    /// Upper bound of the time at which the latest response with this state was
+    /// made.
+    time_point observed_at{};
+    /// When `rate` or `has_ended` last changed.
     time_point changed_at{};
   };
 
-  /// What an answer said that was made at \p at.
-  struct statement {
+  /// Origin of a response, received from the upstream or reported by a peer.
+  struct observation {
     uint64_t upstream = 0;
+    /// Time of the response, as far as it is known.
     time_point at{};
-    bool is_first_hand = false;
+    /// Whether it was received from the upstream itself.
+    bool is_local = false;
   };
 
-  change Name(time_point now, const statement& told, double rate);
-  change End(time_point now, const statement& told);
+  /// Applies a response that advertised \p rate requests per second.
+  change ApplyLimit(time_point now, const observation& observed, double rate);
+  /// Applies a response that advertised no limit.
+  change EndLimit(time_point now, const observation& observed);
 
-  std::unordered_map<uint64_t, known_limit> known_;
+  /// By upstream.
+  std::unordered_map<uint64_t, limit_state> limits_;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Admission/wait_queue.h
+++ b/include/cuminswitch/Admission/wait_queue.h
@@ -1,5 +1,5 @@
 /// \file
-/// Requests that wait for room.
+/// Queue of requests that wait for capacity at a target.
 #ifndef CUMINSWITCH_ADMISSION_WAIT_QUEUE_H_
 #define CUMINSWITCH_ADMISSION_WAIT_QUEUE_H_
 
@@ -23,52 +23,56 @@
   priority_class priority = priority_class::kStandard;
   uint64_t workspace_hash = 0;
   time_point arrived{};
-  /// When it is given up on.
+  /// When the request times out.
   time_point deadline{};
 };
 
-/// Orders waiting requests by arrival plus a head start per class, so that a
-/// less urgent request is overtaken for a bounded time only. Within a class a
-/// workspace that has many requests waiting is set back behind the others.
+/// Orders waiting requests by their arrival plus a delay per priority class, so
+/// that a less urgent request is overtaken for a bounded time only. Within a
+/// class, the requests of a workspace that already has many waiting are delayed
+/// further.
 class wait_queue {
  public:
-  /// Adds \p item.
   void Push(const waiting_request& item);
-  /// Removes the request; does nothing when it does not wait.
+  /// Removes the request; does nothing when it is not in the queue.
   void Remove(request_id request);
   /// Offers each target's requests in order to \p try_place until it returns
-  /// false `kLookahead` times for the target. Those that it takes are removed.
+  /// false `kLookahead` times for the target. Those for which it returns true
+  /// are removed.
   void Drain(const std::function<bool(const waiting_request&)>& try_place);
   /// Removes and returns the requests whose deadline has passed.
   std::vector<waiting_request> TakeExpired(time_point now);
   /// Removes and returns all requests.
   std::vector<waiting_request> TakeAll();
-  /// How many would be served before \p item, were it pushed now.
+  /// Returns how many requests of the same target would be ahead of \p item if
+  /// it were pushed now.
   size_t CountAhead(const waiting_request& item) const;
-  size_t size() const { return places_.size(); }
+  size_t size() const { return locations_.size(); }
 
  private:
-  /// Sorts by virtual arrival, then by request.
-  struct place {
+  /// Sort key: virtual arrival, then request.
+  struct position {
+    /// Arrival plus all delays.
     time_point virtual_arrival{};
     request_id request = 0;
-    friend auto operator<=>(const place&, const place&) = default;
+    friend auto operator<=>(const position&, const position&) = default;
   };
-  using line = std::map<place, waiting_request>;
-  /// Where a waiting request stands.
+  using target_queue = std::map<position, waiting_request>;
+  /// Where a waiting request is stored.
   struct location {
     std::string target;
-    place at;
+    position at;
   };
 
-  /// Requests per target that may be passed over because of a limit of their
-  /// own before the rest is left for later.
+  /// How many of a target's requests may be skipped in one call of `Drain`. A
+  /// request may be held up by a limit of its own that others don't share.
   static constexpr size_t kLookahead = 32;
 
-  place MakePlace(const waiting_request& item) const;
+  position MakePosition(const waiting_request& item) const;
 
-  std::map<std::string, line, std::less<>> lines_;
-  std::unordered_map<request_id, location> places_;
+  /// By target.
+  std::map<std::string, target_queue, std::less<>> queues_;
+  std::unordered_map<request_id, location> locations_;
   std::unordered_map<uint64_t, uint32_t> waiting_by_workspace_;
 };
 
--- a/include/cuminswitch/Admission/workspace_limiter.h
+++ b/include/cuminswitch/Admission/workspace_limiter.h
@@ -1,6 +1,5 @@
 /// \file
-/// Limits a workspace's requests in flight over a fleet of which each daemon
-/// sees a part.
+/// Limits the requests in flight of a workspace over the whole fleet.
 #ifndef CUMINSWITCH_ADMISSION_WORKSPACE_LIMITER_H_
 #define CUMINSWITCH_ADMISSION_WORKSPACE_LIMITER_H_
 
@@ -15,21 +14,22 @@
 
 namespace cuminswitch {
 
-/// Counts this daemon's requests exactly and adds what others last reported.
-/// Reports are late, so the fleet may pass a limit for about one heartbeat
-/// round; it comes back under it without any coordination.
+/// Adds the exact count of this daemon's requests to the last reports of the
+/// other daemons. Reports are late, so the fleet may exceed a limit for about
+/// one heartbeat round; it returns below the limit without coordination.
 class workspace_limiter {
  public:
-  /// Whether one more request fits under \p limit.
+  /// Whether one more request is within \p limit.
   bool HasRoom(time_point now, uint64_t workspace_hash, uint32_t limit) const;
   void OnStart(uint64_t workspace_hash);
   void OnEnd(uint64_t workspace_hash);
-  /// Takes in what \p host reports; replaces its last report.
+  /// Applies a report of \p host, which replaces its previous one.
   void OnPeerUsage(time_point now,
                    const std::string& host,
                    const std::vector<workspace_use>& usage);
-  /// Returns this daemon's counts, the largest ones first.
+  /// Returns this daemon's largest counts in descending order, at most 32.
   std::vector<workspace_use> ListUsage() const;
+  /// Returns this daemon's requests in flight.
   uint32_t InFlight(uint64_t workspace_hash) const;
 
  private:
@@ -38,7 +38,9 @@
     std::unordered_map<uint64_t, uint32_t> in_flight;
   };
 
-  std::unordered_map<uint64_t, uint32_t> own_;
+  /// This daemon's requests in flight, by workspace hash.
+  std::unordered_map<uint64_t, uint32_t> local_;
+  /// By host.
   std::map<std::string, peer_usage> peers_;
 };
 
--- a/lib/Admission/even_quota_policy.cc
+++ b/lib/Admission/even_quota_policy.cc
@@ -6,53 +6,60 @@
 
 namespace cuminswitch {
 
-/// A part that is not used for so long is forgotten. It starts in debt again,
-/// which the rate of one daemon's part takes seconds to pay.
-static constexpr duration kForgetAfter = std::chrono::seconds(60);
+/// A share that is unused for this long is removed. A new one starts in debt
+/// again, which takes seconds to pay at the rate of one daemon's share.
+static constexpr duration kUnusedRetention = std::chrono::seconds(60);
 
 void even_quota_policy::SetFleet(time_point /*now*/,
                                  const quota_fleet_view& fleet) {
-  known_ = std::max(fleet.known, fleet.alive.size() + 1);
+  daemon_count_ = std::max(fleet.known, fleet.alive.size() + 1);
 }
 
-/// A number from 0 to 1 that differs between daemons and subjects.
-static double Fraction(uint64_t seed, uint64_t subject) {
+/// Returns a pseudo-random number from 0 to 1 that depends on the daemon's seed
+/// and the subject.
+static double DebtFraction(uint64_t seed, uint64_t subject) {
   return static_cast<double>(CombineHash(seed, subject) >> 11) * 0x1p-53;
 }
 
-even_quota_policy::part& even_quota_policy::Find(time_point now,
-                                                 const quota_request& item) {
-  auto found = parts_.find(item.subject);
-  if (found == parts_.end()) {
-    const double debt =
-        known_ == 1 ? 0 : Fraction(options_.seed, item.subject) * item.weight;
-    found = parts_
-                .emplace(item.subject, part{.bucket = quota_bucket(now, -debt),
-                                            .limit = item.limit})
-                .first;
+even_quota_policy::subject_share& even_quota_policy::Find(
+    time_point now,
+    const quota_request& item) {
+  auto found = shares_.find(item.subject);
+  if (found == shares_.end()) {
+    const double initial_debt =
+        daemon_count_ == 1
+            ? 0
+            : DebtFraction(options_.seed, item.subject) * item.weight;
+    found =
+        shares_
+            .emplace(item.subject,
+                     subject_share{.bucket = quota_bucket(now, -initial_debt),
+                                   .limit = item.limit})
+            .first;
   }
-  part& own = found->second;
-  own.used_at = now;
-  if (item.limit.version >= own.limit.version) {
-    own.limit = item.limit;
+  subject_share& local = found->second;
+  local.used_at = now;
+  if (item.limit.version >= local.limit.version) {
+    local.limit = item.limit;
   }
-  const auto daemons = static_cast<double>(known_);
-  own.bucket.SetLimit(now, own.limit.rate / daemons, own.limit.burst / daemons);
-  return own;
+  const auto daemons = static_cast<double>(daemon_count_);
+  local.bucket.SetLimit(now, local.limit.rate / daemons,
+                        local.limit.burst / daemons);
+  return local;
 }
 
 void even_quota_policy::Admit(time_point now, const quota_request& item) {
-  part& own = Find(now, item);
+  subject_share& local = Find(now, item);
   const quota_bucket::decision decided =
-      own.bucket.Decide(now, {.weight = item.weight,
-                              .digest = item.digest,
-                              .max_wait = item.max_wait});
+      local.bucket.Decide(now, {.weight = item.weight,
+                                .digest = item.digest,
+                                .max_wait = item.max_wait});
   decisions_.push_back({.ticket = item.ticket,
                         .is_admitted = decided.is_admitted,
                         .retry_after = decided.retry_after,
                         .source = quota_source::kLocalShare,
-                        .level = own.bucket.Level(now),
-                        .share = 1.0 / static_cast<double>(known_)});
+                        .level = local.bucket.Level(now),
+                        .share = 1.0 / static_cast<double>(daemon_count_)});
 }
 
 void even_quota_policy::Charge(time_point now, const quota_request& item) {
@@ -60,8 +67,8 @@
 }
 
 void even_quota_policy::OnTick(time_point now) {
-  std::erase_if(parts_, [&](const auto& item) {
-    return now - item.second.used_at > kForgetAfter;
+  std::erase_if(shares_, [&](const auto& item) {
+    return now - item.second.used_at > kUnusedRetention;
   });
 }
 
--- a/lib/Admission/load_shedder.cc
+++ b/lib/Admission/load_shedder.cc
@@ -4,45 +4,51 @@
 
 namespace cuminswitch {
 
-/// A queue estimate is up to a quarter too high, so the least urgent requests
-/// are refused from a little past their target, and the urgent ones, which
-/// engines take first, much later. Earlier (1 and 2.5) serves a fleet of 60
-/// engines better and one of 9 to 12 worse, later (1.5 and 4) the other way
-/// round.
-static constexpr double kTargetsBorne = 1.25;
-static constexpr double kUrgentTargetsBorne = 3;
-/// Twice the wait from which some are refused, all are.
-static constexpr double kAllRefusedFactor = 2;
-/// Of the time for which a caller bears silence. Of requests with a longer
-/// estimate less than half reached their caller.
-static constexpr double kSilenceUsed = 0.75;
-static constexpr duration kLeastRetryAfter = std::chrono::milliseconds(300);
+/// Expected waits from which requests are refused, as multiples of their
+/// target. Estimates of the wait are up to a quarter too high, so less urgent
+/// requests are refused slightly past their target; interactive ones, which
+/// engines run first, much later. Smaller factors (1 and 2.5) serve a fleet of
+/// 60 engines better and one of 9 to 12 worse; larger ones (1.5 and 4) the
+/// reverse.
+static constexpr double kToleratedTargets = 1.25;
+static constexpr double kUrgentToleratedTargets = 3;
+/// All requests are refused at this multiple of the wait from which some are.
+static constexpr double kFullRefusalFactor = 2;
+/// All requests are refused whose expected wait exceeds this share of the
+/// caller's idle timeout: of those, fewer than half of the responses reached
+/// their caller.
+static constexpr double kIdleTimeoutShare = 0.75;
+static constexpr duration kMinRetryAfter = std::chrono::milliseconds(300);
 
-/// The wait from which some requests are refused.
-static duration BorneWait(const shedding_query& question) {
-  const bool is_urgent = question.priority == priority_class::kInteractive;
-  const double targets = is_urgent ? kUrgentTargetsBorne : kTargetsBorne;
-  return FromSeconds(ToSeconds(question.target) * targets);
+/// Returns the wait from which some requests are refused.
+static duration ToleratedWait(const shedding_query& query) {
+  const bool is_urgent = query.priority == priority_class::kInteractive;
+  const double targets =
+      is_urgent ? kUrgentToleratedTargets : kToleratedTargets;
+  return FromSeconds(ToSeconds(query.target) * targets);
 }
 
-double RefusalChance(const shedding_query& question) {
-  if (question.target == duration(0)) {
+double RefusalChance(const shedding_query& query) {
+  if (query.target == duration(0)) {
     return 0;
   }
-  const double wait = ToSeconds(question.waited + question.expected);
-  const double some = ToSeconds(BorneWait(question));
-  double all = some * kAllRefusedFactor;
-  if (question.caller_idle_timeout > duration(0)) {
-    all = std::min(all, ToSeconds(question.caller_idle_timeout) * kSilenceUsed);
+  const double wait = ToSeconds(query.waited + query.expected);
+  const double partial_from = ToSeconds(ToleratedWait(query));
+  double full_from = partial_from * kFullRefusalFactor;
+  if (query.caller_idle_timeout > duration(0)) {
+    full_from = std::min(
+        full_from, ToSeconds(query.caller_idle_timeout) * kIdleTimeoutShare);
   }
-  if (wait >= all) {
+  if (wait >= full_from) {
     return 1;
   }
-  return wait <= some ? 0 : (wait - some) / (all - some);
+  return wait <= partial_from
+             ? 0
+             : (wait - partial_from) / (full_from - partial_from);
 }
 
-duration RefusedRetryAfter(const shedding_query& question) {
-  return std::max(kLeastRetryAfter, question.expected - question.target);
+duration RefusedRetryAfter(const shedding_query& query) {
+  return std::max(kMinRetryAfter, query.expected - query.target);
 }
 
 }  // namespace cuminswitch
--- a/lib/Admission/owner_quota_policy.cc
+++ b/lib/Admission/owner_quota_policy.cc
@@ -9,30 +9,30 @@
 
 namespace cuminswitch {
 
-/// An owner that has not answered by then is asked no more. A round trip takes
-/// 1 to 3 ms; a host whose share of a core is used up stands for the rest of a
-/// tenth of a second.
-static constexpr duration kAnswerTime = std::chrono::milliseconds(120);
-/// Owners asked about one request.
+/// Timeout of a query to an owner. A round trip takes 1 to 3 ms; a host that
+/// has used up its CPU quota is paused for the rest of a 100 ms period.
+static constexpr duration kReplyTimeout = std::chrono::milliseconds(120);
+/// Owners queried for one request.
 static constexpr uint32_t kMaxAttempts = 2;
-/// An owner that was silent is passed over for so long; by then its beats tell
-/// whether it lives.
-static constexpr duration kSilentTime = std::chrono::milliseconds(1'000);
-/// What an owner told counts for so long where none answers, and only if this
-/// much of the burst was left: a cut is noticed within this time, and a
-/// subject that is over its limit never has so much.
-static constexpr duration kBeliefTime = std::chrono::seconds(2);
-static constexpr double kBelievedPart = 0.5;
-/// After so long, what an owner told says nothing.
-static constexpr duration kToldTime = std::chrono::seconds(10);
+/// How long an owner that did not reply is skipped; by then its heartbeats show
+/// whether it is alive.
+static constexpr duration kUnresponsiveBackoff =
+    std::chrono::milliseconds(1'000);
+/// While no owner replies, a cached level is used for this long, and only if at
+/// least this share of the burst was left. A network partition is detected
+/// within this time, and a subject over its limit never has as much left.
+static constexpr duration kCachedLevelLifetime = std::chrono::seconds(2);
+static constexpr double kMinCachedBurstShare = 0.5;
+/// Cached levels and reply times are removed after this time.
+static constexpr duration kReplyRetention = std::chrono::seconds(10);
 
-/// What an owner that has just started gives out while some still ask the one
-/// that stood in for it. Most subjects use about half of their limit.
-static constexpr double kFirstPart = 0.5;
-/// What one gives out that is asked in place of the owner while it still takes
-/// that one to live: it may be cut off only from those that ask, and give out
-/// their part to others.
-static constexpr double kStandInPart = 0.25;
+/// Share that a restarted owner grants while some daemons still query the one
+/// that took over. Most subjects use about half of their limit.
+static constexpr double kRestartedOwnerShare = 0.5;
+/// Share that a daemon grants in place of an owner that may still be active:
+/// that owner may be partitioned only from the daemons that query this one, and
+/// grant their share to others.
+static constexpr double kTakeoverShare = 0.25;
 
 static uint64_t HashOf(const endpoint& address) {
   return Hash64(address.ToString());
@@ -43,15 +43,16 @@
       owner_(opts.id),
       kind_(opts.kind),
       fallback_(opts.fallback),
-      own_part_({.seed = opts.id}) {
+      even_policy_({.seed = opts.id}) {
   candidates_.push_back(self_);
 }
 
 void owner_quota_policy::SetFleet(time_point now,
                                   const quota_fleet_view& fleet) {
   std::vector<candidate> next;
-  // A daemon that stops serves on for seconds. As an owner in its own eyes it
-  // would give out each limit beside the one whom all others ask.
+  // A daemon that shuts down serves requests for some more seconds. If it took
+  // itself for an owner, it would grant each limit a second time, beside the
+  // owner that all others query.
   const bool is_candidate = !fleet.is_leaving || fleet.alive.empty();
   if (is_candidate) {
     next.push_back(self_);
@@ -61,44 +62,48 @@
       next.push_back({.address = address, .hash = HashOf(address)});
     }
   }
-  NoteLost(now, next);
+  RecordFailed(now, next);
   candidates_ = std::move(next);
-  const size_t living = candidates_.size() + (is_candidate ? 0 : 1);
-  known_ = std::max(fleet.known, living);
-  notice_time_ = fleet.convergence_time;
+  const size_t alive_count = candidates_.size() + (is_candidate ? 0 : 1);
+  daemon_count_ = std::max(fleet.known, alive_count);
+  convergence_time_ = fleet.convergence_time;
   started_at_ = started_at_.value_or(now);
-  seen_.push_back(
-      {.from = now,
-       .part = static_cast<double>(living) / static_cast<double>(known_)});
-  // The last one that was in force at the time from which on they count.
-  while (seen_.size() > 1 && seen_[1].from <= now - notice_time_) {
-    seen_.erase(seen_.begin());
+  alive_shares_.push_back({.from = now,
+                           .share = static_cast<double>(alive_count) /
+                                    static_cast<double>(daemon_count_)});
+  // Keeps the share that was current at the beginning of the convergence time.
+  while (alive_shares_.size() > 1 &&
+         alive_shares_[1].from <= now - convergence_time_) {
+    alive_shares_.erase(alive_shares_.begin());
   }
-  own_part_.SetFleet(now, fleet);
+  even_policy_.SetFleet(now, fleet);
 }
 
-void owner_quota_policy::NoteLost(time_point now,
-                                  std::span<const candidate> next) {
-  std::unordered_set<uint64_t> living;
+void owner_quota_policy::RecordFailed(time_point now,
+                                      std::span<const candidate> next) {
+  std::unordered_set<uint64_t> alive;
   for (const candidate& item : next) {
-    living.insert(item.hash);
+    alive.insert(item.hash);
   }
-  std::erase_if(lost_, [&](const lost_daemon& item) {
-    return now - item.at > notice_time_ || living.contains(item.who.hash);
+  std::erase_if(recently_failed_, [&](const failed_daemon& item) {
+    return now - item.at > convergence_time_ ||
+           alive.contains(item.daemon.hash);
   });
   for (const candidate& item : candidates_) {
-    if (!living.contains(item.hash)) {
-      lost_.push_back({.who = item, .at = now});
+    if (!alive.contains(item.hash)) {
+      recently_failed_.push_back({.daemon = item, .at = now});
     }
   }
 }
 
-bool owner_quota_policy::StandsIn(time_point now, uint64_t subject) const {
-  const uint64_t own = RendezvousWeight(subject, self_.hash);
-  return std::any_of(lost_.begin(), lost_.end(), [&](const lost_daemon& item) {
-    return now - item.at <= notice_time_ &&
-           RendezvousWeight(subject, item.who.hash) > own;
-  });
+bool owner_quota_policy::HasTakenOver(time_point now, uint64_t subject) const {
+  const uint64_t own_weight = RendezvousWeight(subject, self_.hash);
+  return std::any_of(recently_failed_.begin(), recently_failed_.end(),
+                     [&](const failed_daemon& item) {
+                       return now - item.at <= convergence_time_ &&
+                              RendezvousWeight(subject, item.daemon.hash) >
+                                  own_weight;
+                     });
 }
 
 const endpoint& owner_quota_policy::FindOwner(time_point now,
@@ -110,8 +115,9 @@
     if (best != nullptr && weight <= best_weight) {
       continue;
     }
-    if (const auto silent = silent_until_.find(item.address);
-        silent != silent_until_.end() && now < silent->second) {
+    if (const auto unresponsive = unresponsive_until_.find(item.address);
+        unresponsive != unresponsive_until_.end() &&
+        now < unresponsive->second) {
       continue;
     }
     best = &item;
@@ -120,119 +126,128 @@
   return best == nullptr ? self_.address : best->address;
 }
 
-double owner_quota_policy::SeenPart(time_point now) const {
-  if (seen_.empty() || known_ == 1) {
+double owner_quota_policy::MinAliveShare(time_point now) const {
+  if (alive_shares_.empty() || daemon_count_ == 1) {
     return 1;
   }
-  if (now - *started_at_ < notice_time_) {
-    return seen_.back().part;
+  if (now - *started_at_ < convergence_time_) {
+    return alive_shares_.back().share;
   }
-  // What it saw while it still gathered who there is says nothing.
+  // Shares from the warm-up time are too small: not all daemons had been found.
   const time_point since =
-      std::max(now - notice_time_, *started_at_ + kWarmUpTime);
-  double least = seen_.back().part;
-  for (size_t i = 0; i + 1 < seen_.size(); ++i) {
-    if (seen_[i + 1].from > since) {
-      least = std::min(least, seen_[i].part);
+      std::max(now - convergence_time_, *started_at_ + kWarmUpTime);
+  double smallest = alive_shares_.back().share;
+  for (size_t i = 0; i + 1 < alive_shares_.size(); ++i) {
+    if (alive_shares_[i + 1].from > since) {
+      smallest = std::min(smallest, alive_shares_[i].share);
     }
   }
-  return least;
+  return smallest;
 }
 
-double owner_quota_policy::PartAsOwner(time_point now, uint64_t subject) const {
-  if (StandsIn(now, subject)) {
-    return kStandInPart;
+double owner_quota_policy::OwnerFactor(time_point now, uint64_t subject) const {
+  if (HasTakenOver(now, subject)) {
+    return kTakeoverShare;
   }
-  const bool is_new = started_at_ && now - *started_at_ < notice_time_;
-  const bool has_other = owner_.HasOther(now - notice_time_, subject);
-  return is_new && has_other ? kFirstPart : 1;
+  const bool is_newly_started =
+      started_at_ && now - *started_at_ < convergence_time_;
+  const bool has_other_owner =
+      owner_.HasOtherOwner(now - convergence_time_, subject);
+  return is_newly_started && has_other_owner ? kRestartedOwnerShare : 1;
 }
 
-double owner_quota_policy::Share(time_point now, uint64_t subject) const {
+double owner_quota_policy::GrantedShare(time_point now,
+                                        uint64_t subject) const {
   if (FindOwner(now, subject) == self_.address) {
-    return SeenPart(now) * PartAsOwner(now, subject);
+    return MinAliveShare(now) * OwnerFactor(now, subject);
   }
-  const size_t askers = std::max<size_t>(1, owner_.CountAskers(now, subject));
-  return std::min(1.0, kStandInPart * static_cast<double>(askers) /
-                           static_cast<double>(known_));
+  const size_t requesters =
+      std::max<size_t>(1, owner_.CountRequesters(now, subject));
+  return std::min(1.0, kTakeoverShare * static_cast<double>(requesters) /
+                           static_cast<double>(daemon_count_));
 }
 
-quota_query owner_quota_policy::MakeAsk(time_point now,
-                                        const quota_request& item) const {
-  quota_query ask{.from = self_.address,
-                  .ticket = item.ticket,
-                  .kind = kind_,
-                  .subject = item.subject,
-                  .limit = item.limit,
-                  .limit_age = item.limit_age,
-                  .weight = item.weight,
-                  .digest = item.digest,
-                  .max_wait = item.max_wait,
-                  .last_level = std::nullopt};
-  if (const auto told = told_.find(item.subject); told != told_.end()) {
-    ask.last_level = quota_level{.owner = told->second.owner,
-                                 .level = told->second.level,
-                                 .age = now - told->second.at};
+quota_query owner_quota_policy::MakeQuery(time_point now,
+                                          const quota_request& item) const {
+  quota_query query{.from = self_.address,
+                    .ticket = item.ticket,
+                    .kind = kind_,
+                    .subject = item.subject,
+                    .limit = item.limit,
+                    .limit_age = item.limit_age,
+                    .weight = item.weight,
+                    .digest = item.digest,
+                    .max_wait = item.max_wait,
+                    .last_level = std::nullopt};
+  if (const auto cached = cached_levels_.find(item.subject);
+      cached != cached_levels_.end()) {
+    query.last_level = quota_level{.owner = cached->second.owner,
+                                   .level = cached->second.level,
+                                   .age = now - cached->second.at};
   }
-  return ask;
+  return query;
 }
 
 quota_query owner_quota_policy::MakeReport(time_point now,
                                            const quota_request& item,
                                            double weight) const {
-  quota_query report = MakeAsk(now, item);
+  quota_query report = MakeQuery(now, item);
   report.ticket = 0;
   report.weight = weight;
   return report;
 }
 
-void owner_quota_policy::Note(time_point now,
-                              uint64_t subject,
-                              const quota_reply& verdict) {
-  told_[subject] = {.owner = verdict.owner, .level = verdict.level, .at = now};
+void owner_quota_policy::CacheLevel(time_point now,
+                                    uint64_t subject,
+                                    const quota_reply& reply) {
+  cached_levels_[subject] = {
+      .owner = reply.owner, .level = reply.level, .at = now};
 }
 
-void owner_quota_policy::DecideHere(time_point now, const quota_request& item) {
-  const double share = Share(now, item.subject);
-  if (const auto taken = unreported_.extract(item.subject)) {
-    owner_.OnQuery(now, MakeReport(now, item, taken.mapped()), share);
+void owner_quota_policy::DecideAsOwner(time_point now,
+                                       const quota_request& item) {
+  const double share = GrantedShare(now, item.subject);
+  if (const auto unreported = unreported_.extract(item.subject)) {
+    owner_.OnQuery(now, MakeReport(now, item, unreported.mapped()), share);
   }
-  const quota_reply verdict = owner_.OnQuery(now, MakeAsk(now, item), share);
-  Note(now, item.subject, verdict);
+  const quota_reply reply = owner_.OnQuery(now, MakeQuery(now, item), share);
+  CacheLevel(now, item.subject, reply);
   decisions_.push_back({.ticket = item.ticket,
-                        .is_admitted = verdict.is_admitted,
-                        .retry_after = verdict.retry_after,
+                        .is_admitted = reply.is_admitted,
+                        .retry_after = reply.retry_after,
                         .source = quota_source::kSelf,
-                        .level = verdict.level,
-                        .share = verdict.share});
+                        .level = reply.level,
+                        .share = reply.share});
 }
 
-void owner_quota_policy::DecideAlone(time_point now,
-                                     const quota_request& item) {
+void owner_quota_policy::DecideWithoutOwner(time_point now,
+                                            const quota_request& item) {
   if (fallback_ == quota_fallback::kRefuse) {
     decisions_.push_back({.ticket = item.ticket,
                           .is_admitted = false,
-                          .retry_after = kSilentTime,
+                          .retry_after = kUnresponsiveBackoff,
                           .source = quota_source::kNone});
     return;
   }
-  if (const auto found = told_.find(item.subject); found != told_.end()) {
-    told_level& told = found->second;
-    const bool is_recent = now - told.at <= kBeliefTime;
-    if (is_recent && told.level >= item.limit.burst * kBelievedPart) {
-      // Less is left by now, so that not all that come go by it.
-      told.level -= item.weight;
+  if (const auto found = cached_levels_.find(item.subject);
+      found != cached_levels_.end()) {
+    cached_level& cached = found->second;
+    const bool is_recent = now - cached.at <= kCachedLevelLifetime;
+    if (is_recent && cached.level >= item.limit.burst * kMinCachedBurstShare) {
+      // Deducted from the cached level, so that it doesn't admit unboundedly
+      // many requests.
+      cached.level -= item.weight;
       decisions_.push_back({.ticket = item.ticket,
                             .is_admitted = true,
                             .source = quota_source::kCached,
-                            .level = told.level,
-                            .age = now - told.at});
+                            .level = cached.level,
+                            .age = now - cached.at});
       unreported_[item.subject] += item.weight;
       return;
     }
   }
-  own_part_.Admit(now, item);
-  for (const quota_decision& decided : own_part_.TakeDecisions()) {
+  even_policy_.Admit(now, item);
+  for (const quota_decision& decided : even_policy_.TakeDecisions()) {
     decisions_.push_back(decided);
     if (decided.is_admitted) {
       unreported_[item.subject] += item.weight;
@@ -240,113 +255,115 @@
   }
 }
 
-void owner_quota_policy::Send(time_point now, pending asked) {
-  const endpoint& owner = FindOwner(now, asked.item.subject);
+void owner_quota_policy::Send(time_point now, pending_query pending) {
+  const endpoint& owner = FindOwner(now, pending.item.subject);
   if (owner == self_.address) {
-    DecideHere(now, asked.item);
+    DecideAsOwner(now, pending.item);
     return;
   }
-  asked.asked = owner;
-  asked.asked_at = now;
-  ++asked.attempts;
-  quota_query ask = MakeAsk(now, asked.item);
-  ask.is_final = asked.attempts > 1;
-  messages_.push_back({.to = owner, .message = std::move(ask)});
-  const uint64_t ticket = asked.item.ticket;
-  pending_[ticket] = std::move(asked);
+  pending.owner = owner;
+  pending.sent_at = now;
+  ++pending.attempts;
+  quota_query query = MakeQuery(now, pending.item);
+  query.is_final = pending.attempts > 1;
+  messages_.push_back({.to = owner, .message = std::move(query)});
+  const uint64_t ticket = pending.item.ticket;
+  pending_[ticket] = std::move(pending);
 }
 
 void owner_quota_policy::Admit(time_point now, const quota_request& item) {
-  Send(now, {.item = item, .asked = {}});
+  Send(now, {.item = item, .owner = {}});
 }
 
 void owner_quota_policy::Charge(time_point now, const quota_request& item) {
   const endpoint& owner = FindOwner(now, item.subject);
-  const quota_query ask = MakeReport(now, item, item.weight);
+  const quota_query query = MakeReport(now, item, item.weight);
   if (owner == self_.address) {
-    owner_.OnQuery(now, ask, Share(now, item.subject));
+    owner_.OnQuery(now, query, GrantedShare(now, item.subject));
     return;
   }
-  messages_.push_back({.to = owner, .message = ask});
+  messages_.push_back({.to = owner, .message = query});
 }
 
-void owner_quota_policy::ReportTaken(time_point now,
-                                     const quota_request& item,
-                                     const endpoint& owner) {
+void owner_quota_policy::ReportUnreported(time_point now,
+                                          const quota_request& item,
+                                          const endpoint& owner) {
   const auto found = unreported_.find(item.subject);
   if (found == unreported_.end()) {
     return;
   }
-  quota_query ask = MakeReport(now, item, found->second);
+  quota_query query = MakeReport(now, item, found->second);
   unreported_.erase(found);
-  ask.is_final = true;
-  messages_.push_back({.to = owner, .message = std::move(ask)});
+  query.is_final = true;
+  messages_.push_back({.to = owner, .message = std::move(query)});
 }
 
-void owner_quota_policy::OnQuery(time_point now, const quota_query& ask) {
-  if (!ask.is_final) {
-    if (const endpoint& owner = FindOwner(now, ask.subject);
+void owner_quota_policy::OnQuery(time_point now, const quota_query& query) {
+  if (!query.is_final) {
+    if (const endpoint& owner = FindOwner(now, query.subject);
         owner != self_.address) {
-      quota_query handed_on = ask;
-      handed_on.is_final = true;
-      messages_.push_back({.to = owner, .message = std::move(handed_on)});
+      quota_query forwarded = query;
+      forwarded.is_final = true;
+      messages_.push_back({.to = owner, .message = std::move(forwarded)});
       return;
     }
   }
-  const quota_reply verdict = owner_.OnQuery(now, ask, Share(now, ask.subject));
-  if (ask.ticket != 0) {
-    messages_.push_back({.to = ask.from, .message = verdict});
+  const quota_reply reply =
+      owner_.OnQuery(now, query, GrantedShare(now, query.subject));
+  if (query.ticket != 0) {
+    messages_.push_back({.to = query.from, .message = reply});
   }
 }
 
-void owner_quota_policy::OnReply(time_point now, const quota_reply& verdict) {
-  const auto found = pending_.find(verdict.ticket);
+void owner_quota_policy::OnReply(time_point now, const quota_reply& reply) {
+  const auto found = pending_.find(reply.ticket);
   if (found == pending_.end()) {
-    // Its request was decided without it.
+    // The reply is late: the request has already been decided.
     return;
   }
-  const pending asked = std::move(found->second);
+  const pending_query pending = std::move(found->second);
   pending_.erase(found);
-  heard_at_[asked.asked] = now;
-  Note(now, asked.item.subject, verdict);
-  ReportTaken(now, asked.item, asked.asked);
-  decisions_.push_back({.ticket = verdict.ticket,
-                        .is_admitted = verdict.is_admitted,
-                        .retry_after = verdict.retry_after,
+  last_reply_at_[pending.owner] = now;
+  CacheLevel(now, pending.item.subject, reply);
+  ReportUnreported(now, pending.item, pending.owner);
+  decisions_.push_back({.ticket = reply.ticket,
+                        .is_admitted = reply.is_admitted,
+                        .retry_after = reply.retry_after,
                         .source = quota_source::kOwner,
-                        .level = verdict.level,
-                        .age = now - asked.asked_at,
-                        .share = verdict.share});
+                        .level = reply.level,
+                        .age = now - pending.sent_at,
+                        .share = reply.share});
 }
 
 void owner_quota_policy::OnTick(time_point now) {
   owner_.OnTick(now);
-  own_part_.OnTick(now);
-  std::erase_if(silent_until_,
+  even_policy_.OnTick(now);
+  std::erase_if(unresponsive_until_,
                 [&](const auto& item) { return now >= item.second; });
-  std::erase_if(heard_at_, [&](const auto& item) {
-    return now - item.second > kToldTime;
+  std::erase_if(last_reply_at_, [&](const auto& item) {
+    return now - item.second > kReplyRetention;
   });
-  std::erase_if(told_, [&](const auto& item) {
-    return now - item.second.at > kToldTime;
+  std::erase_if(cached_levels_, [&](const auto& item) {
+    return now - item.second.at > kReplyRetention;
   });
-  std::vector<pending> late;
-  for (const auto& [ticket, asked] : pending_) {
-    if (now - asked.asked_at >= kAnswerTime) {
-      late.push_back(asked);
+  std::vector<pending_query> timed_out;
+  for (const auto& [ticket, pending] : pending_) {
+    if (now - pending.sent_at >= kReplyTimeout) {
+      timed_out.push_back(pending);
     }
   }
-  for (pending& asked : late) {
-    pending_.erase(asked.item.ticket);
-    // Where it answered others meanwhile, one message was lost or late. To ask
-    // another for a second would have two give out the limit.
-    if (heard_at_[asked.asked] < asked.asked_at) {
-      silent_until_[asked.asked] = now + kSilentTime;
+  for (pending_query& pending : timed_out) {
+    pending_.erase(pending.item.ticket);
+    // If the owner replied to other queries meanwhile, a single message was
+    // lost or late. Skipping the owner for `kUnresponsiveBackoff` would then
+    // have two daemons grant the limit.
+    if (last_reply_at_[pending.owner] < pending.sent_at) {
+      unresponsive_until_[pending.owner] = now + kUnresponsiveBackoff;
     }
-    if (asked.attempts < kMaxAttempts) {
-      Send(now, std::move(asked));
+    if (pending.attempts < kMaxAttempts) {
+      Send(now, std::move(pending));
     } else {
-      DecideAlone(now, asked.item);
+      DecideWithoutOwner(now, pending.item);
     }
   }
 }
--- a/lib/Admission/quota_bucket.cc
+++ b/lib/Admission/quota_bucket.cc
@@ -4,47 +4,48 @@
 
 namespace cuminswitch {
 
-/// A promise is kept for so long past its time: a caller comes back through
-/// another connection, which takes some round trips.
-static constexpr duration kPromiseGrace = std::chrono::milliseconds(400);
-/// A caller's clock and ours differ a little; one that is early by this much
-/// has kept to its time.
-static constexpr duration kEarlyReturn = std::chrono::milliseconds(20);
-/// Bounds the memory that one workspace's refusals take. A workspace that is
-/// refused 300 requests a second, each of which may come back within 1.6 s,
-/// holds no more.
-static constexpr size_t kMaxPromises = 512;
-/// Weight of the latest promise in the share of those that were kept: some ten
-/// of them, which a workspace far over its limit is given in a tenth of a
+/// How long a reservation outlasts its due time: a returning caller may need a
+/// new connection, which takes several round trips.
+static constexpr duration kReservationGrace = std::chrono::milliseconds(400);
+/// A caller that returns early by this much has observed its Retry-After, since
+/// its clock differs slightly from ours.
+static constexpr duration kEarlyReturnTolerance = std::chrono::milliseconds(20);
+/// Bounds the memory for reservations of one workspace. A workspace with 300
+/// refused requests per second, each of which may return within 1.6 s, holds no
+/// more.
+static constexpr size_t kMaxReservations = 512;
+/// Weight of the latest reservation in the share of returning callers: averages
+/// over about ten, which a workspace far over its limit gets in a tenth of a
 /// second.
-static constexpr double kLearning = 0.1;
-/// Of the burst, how far those who come back may overdraw the bucket. More of
-/// them come than was expected where the share was learnt from others; without
-/// a bound 4 s' worth was let through within one.
-static constexpr double kReturnOverdraft = 0.5;
-static constexpr duration kLeastRetryAfter = std::chrono::milliseconds(20);
-static constexpr duration kMostRetryAfter = std::chrono::seconds(60);
+static constexpr double kLatestReturnWeight = 0.1;
+/// How far returning callers may overdraw the bucket, as a share of the burst.
+/// More of them return than expected where the share was averaged over other
+/// callers; without a bound, units of 4 s were admitted within 1 s.
+static constexpr double kMaxReturnOverdraft = 0.5;
+static constexpr duration kMinRetryAfter = std::chrono::milliseconds(20);
+static constexpr duration kMaxRetryAfter = std::chrono::seconds(60);
 
 void quota_bucket::Refill(time_point now) {
   if (now > filled_at_) {
     level_ = std::min(burst_, level_ + rate_ * ToSeconds(now - filled_at_));
     filled_at_ = now;
   }
-  std::erase_if(promises_, [&](const promise& item) {
-    const bool is_over = now > item.due + kPromiseGrace;
-    if (is_over) {
-      promised_ -= item.weight;
-      Learn(false);
+  std::erase_if(reservations_, [&](const reservation& item) {
+    const bool has_expired = now > item.due + kReservationGrace;
+    if (has_expired) {
+      reserved_weight_ -= item.weight;
+      RecordReturn(false);
     }
-    return is_over;
+    return has_expired;
   });
-  if (promises_.empty()) {
-    promised_ = 0;
+  if (reservations_.empty()) {
+    reserved_weight_ = 0;
   }
 }
 
-void quota_bucket::Learn(bool came_back) {
-  return_share_ += kLearning * ((came_back ? 1.0 : 0.0) - return_share_);
+void quota_bucket::RecordReturn(bool came_back) {
+  return_share_ +=
+      kLatestReturnWeight * ((came_back ? 1.0 : 0.0) - return_share_);
 }
 
 void quota_bucket::SetLimit(time_point now, double rate, double burst) {
@@ -72,25 +73,26 @@
 quota_bucket::decision quota_bucket::Decide(time_point now,
                                             const request& item) {
   Refill(now);
-  const auto mine = std::find_if(
-      promises_.begin(), promises_.end(),
-      [&](const promise& known) { return known.digest == item.digest; });
-  if (mine != promises_.end()) {
-    const double missing = -kReturnOverdraft * burst_ - level_;
-    if (missing > 0) {
-      mine->due = std::max(mine->due, now + FromSeconds(missing / rate_));
+  const auto reserved = std::find_if(
+      reservations_.begin(), reservations_.end(),
+      [&](const reservation& other) { return other.digest == item.digest; });
+  if (reserved != reservations_.end()) {
+    const double deficit = -kMaxReturnOverdraft * burst_ - level_;
+    if (deficit > 0) {
+      reserved->due =
+          std::max(reserved->due, now + FromSeconds(deficit / rate_));
     }
-    if (now + kEarlyReturn < mine->due) {
+    if (now + kEarlyReturnTolerance < reserved->due) {
       return {.is_admitted = false,
-              .retry_after = std::max(kLeastRetryAfter, mine->due - now)};
+              .retry_after = std::max(kMinRetryAfter, reserved->due - now)};
     }
-    promised_ -= mine->weight;
-    promises_.erase(mine);
-    Learn(true);
+    reserved_weight_ -= reserved->weight;
+    reservations_.erase(reserved);
+    RecordReturn(true);
     level_ -= item.weight;
     return {.is_admitted = true};
   }
-  if (level_ >= Kept()) {
+  if (level_ >= ReservedUnits()) {
     level_ -= item.weight;
     return {.is_admitted = true};
   }
@@ -99,13 +101,13 @@
 
 quota_bucket::decision quota_bucket::Refuse(time_point now,
                                             const request& item) {
-  const double missing = Kept() - level_;
-  const duration wait = std::clamp(FromSeconds(missing / rate_),
-                                   kLeastRetryAfter, kMostRetryAfter);
-  if (wait <= item.max_wait && promises_.size() < kMaxPromises) {
-    promises_.push_back(
+  const double deficit = ReservedUnits() - level_;
+  const duration wait =
+      std::clamp(FromSeconds(deficit / rate_), kMinRetryAfter, kMaxRetryAfter);
+  if (wait <= item.max_wait && reservations_.size() < kMaxReservations) {
+    reservations_.push_back(
         {.digest = item.digest, .weight = item.weight, .due = now + wait});
-    promised_ += item.weight;
+    reserved_weight_ += item.weight;
   }
   return {.is_admitted = false, .retry_after = wait};
 }
--- a/lib/Admission/quota_owner.cc
+++ b/lib/Admission/quota_owner.cc
@@ -4,94 +4,100 @@
 
 namespace cuminswitch {
 
-/// A subject of which nothing is known begins with what its rate gives in so
-/// long. The whole burst would be given out twice where all daemons are killed
-/// at once and forget what they admitted; a daemon takes longer than this from
-/// its end to its first request.
-static constexpr duration kUnknownPast = std::chrono::milliseconds(500);
-/// A daemon that asked within this time counts as an asker.
-static constexpr duration kAskerTime = std::chrono::seconds(2);
-/// A subject that nobody asks for is forgotten: its bucket is full by then
-/// unless its burst takes longer to fill, and then the askers know better.
-static constexpr duration kForgetAfter = std::chrono::seconds(60);
+/// A subject without a reported level starts with the units of this time. With
+/// the whole burst, it would be granted twice after all daemons were killed at
+/// once and lost their state; a restart takes longer than this from the kill to
+/// the first request.
+static constexpr duration kInitialCredit = std::chrono::milliseconds(500);
+/// How long a daemon counts as a requester after its last query.
+static constexpr duration kRequesterLifetime = std::chrono::seconds(2);
+/// A subject without queries for this long is removed: by then its bucket is
+/// full, or, where the burst takes longer to fill, the daemons that query it
+/// report its level.
+static constexpr duration kUnusedRetention = std::chrono::seconds(60);
 
 quota_owner::owned_quota& quota_owner::Find(time_point now,
-                                            const quota_query& ask,
+                                            const quota_query& query,
                                             double share) {
-  const auto found = owned_.find(ask.subject);
+  const auto found = owned_.find(query.subject);
   if (found != owned_.end()) {
     return found->second;
   }
-  const double start =
-      ask.last_level ? ask.limit.burst * share
-                     : std::min(ask.limit.burst,
-                                ask.limit.rate * ToSeconds(kUnknownPast)) *
-                           share;
+  const double initial_level =
+      query.last_level
+          ? query.limit.burst * share
+          : std::min(query.limit.burst,
+                     query.limit.rate * ToSeconds(kInitialCredit)) *
+                share;
   return owned_
-      .emplace(ask.subject, owned_quota{.bucket = quota_bucket(now, start),
-                                        .limit = ask.limit,
-                                        .asked_at = now,
-                                        .askers = {}})
+      .emplace(query.subject,
+               owned_quota{.bucket = quota_bucket(now, initial_level),
+                           .limit = query.limit,
+                           .last_query_at = now,
+                           .requesters = {}})
       .first->second;
 }
 
 quota_reply quota_owner::OnQuery(time_point now,
-                                 const quota_query& ask,
+                                 const quota_query& query,
                                  double share) {
-  owned_quota& quota = Find(now, ask, share);
-  quota.asked_at = now;
-  quota.askers[ask.from] = now;
-  if (ask.limit.version >= quota.limit.version) {
-    quota.limit = ask.limit;
+  owned_quota& quota = Find(now, query, share);
+  quota.last_query_at = now;
+  quota.requesters[query.from] = now;
+  if (query.limit.version >= quota.limit.version) {
+    quota.limit = query.limit;
   }
   quota_bucket& bucket = quota.bucket;
   bucket.SetLimit(now, quota.limit.rate * share, quota.limit.burst * share);
-  if (ask.last_level && ask.last_level->owner != id_) {
-    quota.other_at = std::max(quota.other_at, now - ask.last_level->age);
-    // What the owner before had left, and what came since at most.
+  if (query.last_level && query.last_level->owner != id_) {
+    quota.other_owner_at =
+        std::max(quota.other_owner_at, now - query.last_level->age);
+    // The level of the previous owner plus the most that was refilled since.
     bucket.LowerTo(
-        now, ask.last_level->level +
-                 quota.limit.rate * share * ToSeconds(ask.last_level->age));
+        now, query.last_level->level +
+                 quota.limit.rate * share * ToSeconds(query.last_level->age));
   }
-  quota_reply verdict{
-      .kind = ask.kind, .ticket = ask.ticket, .owner = id_, .share = share};
-  if (ask.ticket == 0) {
-    bucket.Charge(now, ask.weight);
-    verdict.is_admitted = true;
+  quota_reply reply{
+      .kind = query.kind, .ticket = query.ticket, .owner = id_, .share = share};
+  if (query.ticket == 0) {
+    bucket.Charge(now, query.weight);
+    reply.is_admitted = true;
   } else {
-    const quota_bucket::decision decided = bucket.Decide(
-        now,
-        {.weight = ask.weight, .digest = ask.digest, .max_wait = ask.max_wait});
-    verdict.is_admitted = decided.is_admitted;
-    verdict.retry_after = decided.retry_after;
+    const quota_bucket::decision decided =
+        bucket.Decide(now, {.weight = query.weight,
+                            .digest = query.digest,
+                            .max_wait = query.max_wait});
+    reply.is_admitted = decided.is_admitted;
+    reply.retry_after = decided.retry_after;
   }
-  verdict.level = bucket.Level(now);
-  return verdict;
+  reply.level = bucket.Level(now);
+  return reply;
 }
 
-size_t quota_owner::CountAskers(time_point now, uint64_t subject) const {
+size_t quota_owner::CountRequesters(time_point now, uint64_t subject) const {
   const auto found = owned_.find(subject);
   if (found == owned_.end()) {
     return 0;
   }
-  const auto& askers = found->second.askers;
-  return std::count_if(askers.begin(), askers.end(), [&](const auto& item) {
-    return now - item.second <= kAskerTime;
-  });
+  const auto& requesters = found->second.requesters;
+  return std::count_if(requesters.begin(), requesters.end(),
+                       [&](const auto& item) {
+                         return now - item.second <= kRequesterLifetime;
+                       });
 }
 
-bool quota_owner::HasOther(time_point since, uint64_t subject) const {
+bool quota_owner::HasOtherOwner(time_point since, uint64_t subject) const {
   const auto found = owned_.find(subject);
-  return found != owned_.end() && found->second.other_at >= since;
+  return found != owned_.end() && found->second.other_owner_at >= since;
 }
 
 void quota_owner::OnTick(time_point now) {
   std::erase_if(owned_, [&](const auto& item) {
-    return now - item.second.asked_at > kForgetAfter;
+    return now - item.second.last_query_at > kUnusedRetention;
   });
   for (auto& [subject, quota] : owned_) {
-    std::erase_if(quota.askers, [&](const auto& item) {
-      return now - item.second > kAskerTime;
+    std::erase_if(quota.requesters, [&](const auto& item) {
+      return now - item.second > kRequesterLifetime;
     });
   }
 }
--- a/lib/Admission/request_quarantine.cc
+++ b/lib/Admission/request_quarantine.cc
@@ -5,23 +5,27 @@
 
 namespace cuminswitch {
 
-/// A request that runs where another crashes the upstream breaks off with it,
-/// and may be sent along to the next one. Three times over is rare.
+/// Crashes in sequence after which a request is quarantined. A request that
+/// runs beside the one that crashes the upstream is aborted as well, and both
+/// may be retried at the same upstream; three times in a row is rare.
 static constexpr size_t kSequenceToQuarantine = 3;
-/// A caller that sends several copies at once crashes as many each time.
+/// A caller that sends several copies at once crashes as many upstreams each
+/// time. So this many crashes suffice with a sequence of `kShortSequence`.
 static constexpr size_t kCrashesToQuarantine = 5;
 static constexpr size_t kShortSequence = 2;
-/// A daemon passes a crash on that a peer saw if it knows of so many under the
-/// request. Nearly all requests break off once.
-static constexpr size_t kCrashesToPassOn = 2;
-/// Bounds what is told in one message.
-static constexpr size_t kMaxNews = 16;
-/// Crashes are told for almost as long as they count: passed on later, they
-/// would come back younger to who has just forgotten them.
-static constexpr duration kTellTime =
+/// A daemon relays a crash that a peer reported if it knows at least this many
+/// for the request. Nearly all requests that are aborted at all are aborted
+/// only once.
+static constexpr size_t kCrashesToRelay = 2;
+/// Largest number of entries of one kind in a message.
+static constexpr size_t kMaxReports = 16;
+/// Largest age of a crash that is reported or accepted, slightly less than the
+/// time for which it counts. An older one would return, with a younger age, to
+/// daemons that have just removed it.
+static constexpr duration kMaxReportAge =
     request_quarantine::kQuarantineTime - std::chrono::seconds(10);
-/// More are broken off only where a great part of a large fleet crashes at
-/// once, which is no request's doing.
+/// Bounds the memory. More requests are aborted only where a large part of a
+/// large fleet crashes at once, which no request causes.
 static constexpr size_t kMaxSuspects = 4096;
 
 size_t request_quarantine::suspect::CountCrashes() const {
@@ -58,10 +62,10 @@
              : stored_until;
 }
 
-void request_quarantine::Note(quarantine_event::kind what,
-                              const hash128& request,
-                              const suspect& item,
-                              crash_source source) {
+void request_quarantine::RecordEvent(quarantine_event::kind what,
+                                     const hash128& request,
+                                     const suspect& item,
+                                     crash_source source) {
   if (options_.keeps_events) {
     events_.push_back({.what = what,
                        .request = request,
@@ -70,18 +74,20 @@
   }
 }
 
-request_quarantine::suspect& request_quarantine::Touch(time_point now,
-                                                       const hash128& request) {
+request_quarantine::suspect& request_quarantine::FindOrCreate(
+    time_point now,
+    const hash128& request) {
   if (const auto found = suspects_.find(request); found != suspects_.end()) {
     return found->second;
   }
-  MakeRoom(now);
+  EvictOldest(now);
   order_.push_back(request);
   return suspects_[request];
 }
 
-void request_quarantine::MakeRoom(time_point now) {
-  // Quarantined ones go to the end of the order once, and then in their turn.
+void request_quarantine::EvictOldest(time_point now) {
+  // Quarantined requests move to the end of the order once; if all are
+  // quarantined, the oldest is evicted.
   for (size_t left = order_.size();
        suspects_.size() >= kMaxSuspects && !order_.empty(); --left) {
     const hash128 oldest = order_.front();
@@ -94,15 +100,15 @@
   }
 }
 
-void request_quarantine::Add(time_point now,
-                             const hash128& request,
-                             const crash& seen) {
-  suspect& item = Touch(now, request);
+void request_quarantine::AddCrash(time_point now,
+                                  const hash128& request,
+                                  const crash& seen) {
+  suspect& item = FindOrCreate(now, request);
   const auto known = std::find_if(
       item.crashes.begin(), item.crashes.end(),
       [&](const crash& old) { return old.upstream == seen.upstream; });
   if (known != item.crashes.end()) {
-    known->is_first_hand = known->is_first_hand || seen.is_first_hand;
+    known->is_local = known->is_local || seen.is_local;
     return;
   }
   const bool was_quarantined = item.QuarantinedUntil() > now;
@@ -116,12 +122,12 @@
   }
   crashed_.insert(seen.upstream);
   const crash_source source =
-      seen.is_first_hand ? crash_source::kOwn : crash_source::kPeer;
-  if (seen.is_first_hand) {
-    Note(quarantine_event::kind::kSuspected, request, item, source);
+      seen.is_local ? crash_source::kOwn : crash_source::kPeer;
+  if (seen.is_local) {
+    RecordEvent(quarantine_event::kind::kSuspected, request, item, source);
   }
-  if (seen.is_first_hand || item.CountCrashes() >= kCrashesToPassOn) {
-    Tell(request, seen);
+  if (seen.is_local || item.CountCrashes() >= kCrashesToRelay) {
+    QueueReport(request, seen);
   }
   if (!was_quarantined && item.QuarantinedUntil() > now) {
     OnQuarantined(request, item, source);
@@ -129,8 +135,9 @@
   }
 }
 
-void request_quarantine::Tell(const hash128& request, const crash& seen) {
-  if (pending_crashes_.size() < kMaxNews) {
+void request_quarantine::QueueReport(const hash128& request,
+                                     const crash& seen) {
+  if (pending_crashes_.size() < kMaxReports) {
     pending_crashes_.push_back({.request = request, .seen = seen});
   }
 }
@@ -138,12 +145,12 @@
 void request_quarantine::OnQuarantined(const hash128& request,
                                        const suspect& item,
                                        crash_source source) {
-  // One that was cleared since the last `Expire` is still there.
+  // A request cleared since the last `Expire` is still listed.
   if (std::find(quarantined_.begin(), quarantined_.end(), request) ==
       quarantined_.end()) {
     quarantined_.push_back(request);
   }
-  Note(quarantine_event::kind::kQuarantined, request, item, source);
+  RecordEvent(quarantine_event::kind::kQuarantined, request, item, source);
 }
 
 void request_quarantine::ExplainCrashes(const hash128& request) {
@@ -166,14 +173,14 @@
                                  const hash128& request,
                                  uint64_t upstream,
                                  time_point sent) {
-  Add(now, request,
-      {.upstream = upstream, .sent = sent, .at = now, .is_first_hand = true});
+  AddCrash(now, request,
+           {.upstream = upstream, .sent = sent, .at = now, .is_local = true});
 }
 
-void request_quarantine::Complete(time_point now,
-                                  const hash128& request,
-                                  time_point sent,
-                                  crash_source source) {
+void request_quarantine::RecordCompletion(time_point now,
+                                          const hash128& request,
+                                          time_point sent,
+                                          crash_source source) {
   const auto found = suspects_.find(request);
   if (found == suspects_.end() || sent <= found->second.completed_sent) {
     return;
@@ -185,39 +192,39 @@
   if (item.CountCrashes() == before) {
     return;
   }
-  if (before >= kCrashesToPassOn && pending_completions_.size() < kMaxNews) {
+  if (before >= kCrashesToRelay && pending_completions_.size() < kMaxReports) {
     pending_completions_.push_back({.request = request, .sent = sent});
   }
   if (source == crash_source::kOwn || was_quarantined) {
-    Note(quarantine_event::kind::kCleared, request, item, source);
+    RecordEvent(quarantine_event::kind::kCleared, request, item, source);
   }
 }
 
 void request_quarantine::OnCompleted(time_point now,
                                      const hash128& request,
                                      time_point sent) {
-  Complete(now, request, sent, crash_source::kOwn);
+  RecordCompletion(now, request, sent, crash_source::kOwn);
 }
 
 void request_quarantine::OnUpdate(time_point now,
-                                  const quarantine_update& news) {
-  for (const crash_report& item : news.crashes) {
-    if (item.age < kTellTime) {
-      Add(now, item.request,
-          {.upstream = item.upstream,
-           .sent = now - item.age - item.took,
-           .at = now - item.age});
+                                  const quarantine_update& update) {
+  for (const crash_report& item : update.crashes) {
+    if (item.age < kMaxReportAge) {
+      AddCrash(now, item.request,
+               {.upstream = item.upstream,
+                .sent = now - item.age - item.took,
+                .at = now - item.age});
     }
   }
-  for (const completion_report& item : news.completions) {
-    Complete(now, item.request, now - item.age, crash_source::kPeer);
+  for (const completion_report& item : update.completions) {
+    RecordCompletion(now, item.request, now - item.age, crash_source::kPeer);
   }
 }
 
 void request_quarantine::OnStored(time_point now,
                                   std::span<const hash128> requests) {
   for (const hash128& request : requests) {
-    suspect& item = Touch(now, request);
+    suspect& item = FindOrCreate(now, request);
     if (item.stored_until != time_point()) {
       continue;
     }
@@ -230,7 +237,7 @@
 }
 
 void request_quarantine::OnAnswered(uint64_t upstream, time_point sent) {
-  // Asked for each answer, so almost always no.
+  // Called for each response; almost always the upstream has no crash.
   if (!crashed_.contains(upstream)) {
     return;
   }
@@ -238,8 +245,8 @@
     for (crash& seen : item.crashes) {
       if (seen.upstream == upstream && seen.at < sent && !seen.is_cleared) {
         seen.is_cleared = true;
-        Note(quarantine_event::kind::kCleared, request, item,
-             crash_source::kOwn);
+        RecordEvent(quarantine_event::kind::kCleared, request, item,
+                    crash_source::kOwn);
       }
     }
   }
@@ -286,24 +293,24 @@
 }
 
 quarantine_update request_quarantine::TakeUpdate(time_point now) {
-  quarantine_update news;
+  quarantine_update update;
   for (const pending_crash& item : std::exchange(pending_crashes_, {})) {
-    news.crashes.push_back({.request = item.request,
-                            .upstream = item.seen.upstream,
-                            .age = now - item.seen.at,
-                            .took = item.seen.at - item.seen.sent});
+    update.crashes.push_back({.request = item.request,
+                              .upstream = item.seen.upstream,
+                              .age = now - item.seen.at,
+                              .took = item.seen.at - item.seen.sent});
   }
   for (const pending_completion& item :
        std::exchange(pending_completions_, {})) {
-    news.completions.push_back(
+    update.completions.push_back(
         {.request = item.request, .age = now - item.sent});
   }
-  return news;
+  return update;
 }
 
 std::vector<crash_report> request_quarantine::ListActiveCrashes(
     time_point now) const {
-  std::vector<crash_report> standing;
+  std::vector<crash_report> active;
   for (const hash128& request : quarantined_) {
     if (!TimeLeft(now, request)) {
       continue;
@@ -311,15 +318,16 @@
     const suspect& item = suspects_.at(request);
     for (const crash& seen : item.crashes) {
       const duration age = now - seen.at;
-      if (item.Counts(seen) && age < kTellTime && standing.size() < kMaxNews) {
-        standing.push_back({.request = request,
-                            .upstream = seen.upstream,
-                            .age = age,
-                            .took = seen.at - seen.sent});
+      if (item.Counts(seen) && age < kMaxReportAge &&
+          active.size() < kMaxReports) {
+        active.push_back({.request = request,
+                          .upstream = seen.upstream,
+                          .age = age,
+                          .took = seen.at - seen.sent});
       }
     }
   }
-  return standing;
+  return active;
 }
 
 std::vector<quarantine_record> request_quarantine::ListOwn(
@@ -331,11 +339,11 @@
       continue;
     }
     const suspect& item = suspects_.at(request);
-    const bool saw_one = std::any_of(
+    const bool has_local_crash = std::any_of(
         item.crashes.begin(), item.crashes.end(), [&item](const crash& seen) {
-          return seen.is_first_hand && item.Counts(seen);
+          return seen.is_local && item.Counts(seen);
         });
-    if (saw_one) {
+    if (has_local_crash) {
       own.push_back({.request = request, .time_left = *left});
     }
   }
--- a/lib/Admission/retry_budget.cc
+++ b/lib/Admission/retry_budget.cc
@@ -42,8 +42,8 @@
   uint32_t first_attempts = 0;
   uint32_t retries = 0;
   for (size_t i = 0; i < slots_.size(); ++i) {
-    // The oldest slot may reach out of the window: its retries count, what it
-    // earned does not.
+    // The oldest slot may begin before the window: its retries count, but its
+    // first attempts earn nothing.
     first_attempts += i == oldest ? 0 : slots_[i].first_attempts;
     retries += slots_[i].retries;
   }
--- a/lib/Admission/upstream_limits.cc
+++ b/lib/Admission/upstream_limits.cc
@@ -4,23 +4,25 @@
 
 namespace cuminswitch {
 
-/// An upstream that names less gets one request in so long all the same:
-/// without an answer nobody would learn that its limit has ended.
-static constexpr double kLeastRate = 0.1;
-/// A limit ends when nothing was heard of it for so long, and for so many times
-/// the pause between two of its requests: the upstream may be gone, or nobody
-/// asks it for anything.
-static constexpr duration kUnrenewedTime = std::chrono::seconds(10);
-static constexpr double kUnrenewedRequests = 3;
-/// For so long peers are told that a limit has ended; beats reach all within
-/// it.
-static constexpr duration kEndedTime = std::chrono::seconds(5);
-/// Bounds what is told in one message; the rest follows as it changes.
-static constexpr size_t kMaxNews = 64;
-
-/// Of the rate, what may be taken at once beyond it: a request, and a quarter
-/// of a second's worth, so that what is not asked for in one moment can be used
-/// in the next. More would come at once after a pause, to an upstream in need.
+/// Lowest rate in requests per second that is applied. An upstream that
+/// advertises less still gets this rate: without a response no daemon would
+/// learn that the limit has ended.
+static constexpr double kMinRate = 0.1;
+/// A limit ends when no response has advertised it for this time and for this
+/// many times the interval between two requests at its rate. The upstream may
+/// have been removed, or no daemon sends it requests.
+static constexpr duration kMinLimitLifetime = std::chrono::seconds(10);
+static constexpr double kLimitLifetimeIntervals = 3;
+/// How long peers are sent the end of a limit; heartbeats reach all of them
+/// within this time.
+static constexpr duration kEndedRetention = std::chrono::seconds(5);
+/// Largest number of entries in a message; the rest follows as it changes.
+static constexpr size_t kMaxUpdates = 64;
+
+/// The burst beyond the rate: one request, and the requests of a quarter of a
+/// second, so that a rate that is unused for a moment can be used shortly
+/// after. A larger burst would reach an overloaded upstream at once after a
+/// pause.
 static constexpr double kBurstRequests = 1;
 static constexpr double kBurstSeconds = 0.25;
 
@@ -28,39 +30,39 @@
   return {.rate = rate, .burst = kBurstRequests + kBurstSeconds * rate};
 }
 
-upstream_limits::change upstream_limits::Name(time_point now,
-                                              const statement& told,
-                                              double rate) {
-  const auto [found, is_new] = known_.try_emplace(told.upstream);
-  known_limit& known = found->second;
-  if (!is_new && told.at <= known.told_at) {
+upstream_limits::change upstream_limits::ApplyLimit(time_point now,
+                                                    const observation& observed,
+                                                    double rate) {
+  const auto [found, is_new] = limits_.try_emplace(observed.upstream);
+  limit_state& limit = found->second;
+  if (!is_new && observed.at <= limit.observed_at) {
     return change::kNothing;
   }
-  known.told_at = told.at;
-  known.is_first_hand = told.is_first_hand;
-  const bool was_in_force = !is_new && !known.has_ended;
-  const double next = std::max(rate, kLeastRate);
-  if (was_in_force && known.rate == next) {
+  limit.observed_at = observed.at;
+  limit.is_local = observed.is_local;
+  const bool was_in_force = !is_new && !limit.has_ended;
+  const double applied_rate = std::max(rate, kMinRate);
+  if (was_in_force && limit.rate == applied_rate) {
     return change::kNothing;
   }
-  known.rate = next;
-  known.has_ended = false;
-  known.changed_at = now;
+  limit.rate = applied_rate;
+  limit.has_ended = false;
+  limit.changed_at = now;
   return was_in_force ? change::kChanged : change::kAdded;
 }
 
-upstream_limits::change upstream_limits::End(time_point now,
-                                             const statement& told) {
-  const auto found = known_.find(told.upstream);
-  if (found == known_.end() || found->second.has_ended ||
-      told.at < found->second.told_at) {
+upstream_limits::change upstream_limits::EndLimit(time_point now,
+                                                  const observation& observed) {
+  const auto found = limits_.find(observed.upstream);
+  if (found == limits_.end() || found->second.has_ended ||
+      observed.at < found->second.observed_at) {
     return change::kNothing;
   }
-  known_limit& known = found->second;
-  known.has_ended = true;
-  known.is_first_hand = told.is_first_hand;
-  known.told_at = told.at;
-  known.changed_at = now;
+  limit_state& limit = found->second;
+  limit.has_ended = true;
+  limit.is_local = observed.is_local;
+  limit.observed_at = observed.at;
+  limit.changed_at = now;
   return change::kEnded;
 }
 
@@ -70,11 +72,12 @@
                                                   const limit_notice& notice) {
   switch (notice.kind) {
     case notice_kind::kNamed:
-      return Name(now, {.upstream = upstream, .at = now, .is_first_hand = true},
-                  notice.rate);
+      return ApplyLimit(now,
+                        {.upstream = upstream, .at = now, .is_local = true},
+                        notice.rate);
     case notice_kind::kNone:
-      return End(now,
-                 {.upstream = upstream, .at = sent, .is_first_hand = true});
+      return EndLimit(now,
+                      {.upstream = upstream, .at = sent, .is_local = true});
     case notice_kind::kUnreadable:
       break;
   }
@@ -82,81 +85,83 @@
 }
 
 upstream_limits::change upstream_limits::OnUpdate(time_point now,
-                                                  const limit_update& news) {
-  const statement told{.upstream = news.upstream, .at = now - news.age};
-  return news.has_ended ? End(now, told) : Name(now, told, news.rate);
+                                                  const limit_update& update) {
+  const observation observed{.upstream = update.upstream,
+                             .at = now - update.age};
+  return update.has_ended ? EndLimit(now, observed)
+                          : ApplyLimit(now, observed, update.rate);
 }
 
 upstream_limits::change upstream_limits::Forget(uint64_t upstream) {
-  const auto found = known_.find(upstream);
-  if (found == known_.end()) {
+  const auto found = limits_.find(upstream);
+  if (found == limits_.end()) {
     return change::kNothing;
   }
   const bool was_in_force = !found->second.has_ended;
-  known_.erase(found);
+  limits_.erase(found);
   return was_in_force ? change::kEnded : change::kNothing;
 }
 
 std::vector<uint64_t> upstream_limits::TakeExpired(time_point now) {
   std::vector<uint64_t> expired;
-  std::erase_if(known_, [&](const auto& item) {
-    const auto& [upstream, known] = item;
-    const duration age = now - known.told_at;
-    if (known.has_ended) {
-      return age > kEndedTime;
+  std::erase_if(limits_, [&](const auto& item) {
+    const auto& [upstream, limit] = item;
+    const duration age = now - limit.observed_at;
+    if (limit.has_ended) {
+      return age > kEndedRetention;
     }
-    const bool is_over =
-        age >
-        std::max(kUnrenewedTime, FromSeconds(kUnrenewedRequests / known.rate));
-    if (is_over) {
+    const bool has_expired =
+        age > std::max(kMinLimitLifetime,
+                       FromSeconds(kLimitLifetimeIntervals / limit.rate));
+    if (has_expired) {
       expired.push_back(upstream);
     }
-    return is_over;
+    return has_expired;
   });
   return expired;
 }
 
 std::optional<double> upstream_limits::Find(uint64_t upstream) const {
-  const auto found = known_.find(upstream);
-  if (found == known_.end() || found->second.has_ended) {
+  const auto found = limits_.find(upstream);
+  if (found == limits_.end() || found->second.has_ended) {
     return std::nullopt;
   }
   return found->second.rate;
 }
 
 duration upstream_limits::Age(time_point now, uint64_t upstream) const {
-  const auto found = known_.find(upstream);
-  return found == known_.end() ? duration(0) : now - found->second.told_at;
+  const auto found = limits_.find(upstream);
+  return found == limits_.end() ? duration(0) : now - found->second.observed_at;
 }
 
 std::vector<limit_update> upstream_limits::ListUpdates(time_point now,
-                                                       bool passes_on) const {
+                                                       bool relays) const {
   std::vector<std::pair<time_point, limit_update>> all;
-  for (const auto& [upstream, known] : known_) {
-    if (known.is_first_hand || passes_on) {
-      all.emplace_back(known.changed_at,
+  for (const auto& [upstream, limit] : limits_) {
+    if (limit.is_local || relays) {
+      all.emplace_back(limit.changed_at,
                        limit_update{.upstream = upstream,
-                                    .rate = known.rate,
-                                    .has_ended = known.has_ended,
-                                    .age = now - known.told_at});
+                                    .rate = limit.rate,
+                                    .has_ended = limit.has_ended,
+                                    .age = now - limit.observed_at});
     }
   }
   std::sort(all.begin(), all.end(), [](const auto& a, const auto& b) {
     return a.first != b.first ? a.first > b.first
                               : a.second.upstream < b.second.upstream;
   });
-  std::vector<limit_update> news;
+  std::vector<limit_update> updates;
   for (const auto& [at, item] : all) {
-    if (news.size() < kMaxNews) {
-      news.push_back(item);
+    if (updates.size() < kMaxUpdates) {
+      updates.push_back(item);
     }
   }
-  return news;
+  return updates;
 }
 
 size_t upstream_limits::size() const {
   return static_cast<size_t>(
-      std::count_if(known_.begin(), known_.end(),
+      std::count_if(limits_.begin(), limits_.end(),
                     [](const auto& item) { return !item.second.has_ended; }));
 }
 
--- a/lib/Admission/wait_queue.cc
+++ b/lib/Admission/wait_queue.cc
@@ -4,12 +4,13 @@
 
 namespace cuminswitch {
 
-/// How long a request of each class lets later, more urgent ones pass. Batch
-/// work ages into the front after half a minute, so it waits but never starves.
+/// How long a request of each class yields to interactive ones that arrive
+/// later. Batch requests reach the front after half a minute, so they never
+/// starve.
 static constexpr duration kInteractiveDelay{0};
 static constexpr duration kStandardDelay = std::chrono::seconds(1);
 static constexpr duration kBatchDelay = std::chrono::seconds(30);
-/// Set-back per request of the same workspace that waits already.
+/// Additional delay per waiting request of the same workspace.
 static constexpr duration kFairnessDelay = std::chrono::milliseconds(20);
 
 static duration ClassDelay(priority_class priority) {
@@ -24,7 +25,8 @@
   return kStandardDelay;
 }
 
-wait_queue::place wait_queue::MakePlace(const waiting_request& item) const {
+wait_queue::position wait_queue::MakePosition(
+    const waiting_request& item) const {
   const auto waiting = waiting_by_workspace_.find(item.workspace_hash);
   const uint32_t count =
       waiting == waiting_by_workspace_.end() ? 0 : waiting->second;
@@ -34,25 +36,25 @@
 }
 
 void wait_queue::Push(const waiting_request& item) {
-  const place at = MakePlace(item);
-  lines_[item.target].emplace(at, item);
-  places_[item.request] = {.target = item.target, .at = at};
+  const position at = MakePosition(item);
+  queues_[item.target].emplace(at, item);
+  locations_[item.request] = {.target = item.target, .at = at};
   ++waiting_by_workspace_[item.workspace_hash];
 }
 
 void wait_queue::Remove(request_id request) {
-  const auto found = places_.find(request);
-  if (found == places_.end()) {
+  const auto found = locations_.find(request);
+  if (found == locations_.end()) {
     return;
   }
-  const auto line_found = lines_.find(found->second.target);
-  const auto item = line_found->second.find(found->second.at);
+  const auto queue = queues_.find(found->second.target);
+  const auto item = queue->second.find(found->second.at);
   const uint64_t workspace = item->second.workspace_hash;
-  line_found->second.erase(item);
-  if (line_found->second.empty()) {
-    lines_.erase(line_found);
+  queue->second.erase(item);
+  if (queue->second.empty()) {
+    queues_.erase(queue);
   }
-  places_.erase(found);
+  locations_.erase(found);
   if (--waiting_by_workspace_[workspace] == 0) {
     waiting_by_workspace_.erase(workspace);
   }
@@ -61,12 +63,12 @@
 void wait_queue::Drain(
     const std::function<bool(const waiting_request&)>& try_place) {
   std::vector<request_id> placed;
-  for (const auto& [target, items] : lines_) {
-    size_t passed_over = 0;
+  for (const auto& [target, items] : queues_) {
+    size_t skipped = 0;
     for (const auto& [at, item] : items) {
       if (try_place(item)) {
         placed.push_back(item.request);
-      } else if (++passed_over == kLookahead) {
+      } else if (++skipped == kLookahead) {
         break;
       }
     }
@@ -78,7 +80,7 @@
 
 std::vector<waiting_request> wait_queue::TakeExpired(time_point now) {
   std::vector<waiting_request> expired;
-  for (const auto& [target, items] : lines_) {
+  for (const auto& [target, items] : queues_) {
     for (const auto& [at, item] : items) {
       if (item.deadline <= now) {
         expired.push_back(item);
@@ -96,11 +98,11 @@
 }
 
 size_t wait_queue::CountAhead(const waiting_request& item) const {
-  const auto found = lines_.find(item.target);
-  if (found == lines_.end()) {
+  const auto found = queues_.find(item.target);
+  if (found == queues_.end()) {
     return 0;
   }
-  const auto end = found->second.lower_bound(MakePlace(item));
+  const auto end = found->second.lower_bound(MakePosition(item));
   return static_cast<size_t>(std::distance(found->second.begin(), end));
 }
 
--- a/lib/Admission/workspace_limiter.cc
+++ b/lib/Admission/workspace_limiter.cc
@@ -5,9 +5,9 @@
 
 namespace cuminswitch {
 
-/// A report older than this says nothing: its daemon may be gone.
+/// Reports older than this are ignored: their daemon may have failed.
 static constexpr duration kUsageLifetime = std::chrono::seconds(3);
-/// Workspaces named in a heartbeat, so that its size stays bounded.
+/// Most workspaces in a heartbeat, so that its size stays bounded.
 static constexpr size_t kMaxReported = 32;
 
 bool workspace_limiter::HasRoom(time_point now,
@@ -27,14 +27,14 @@
 }
 
 void workspace_limiter::OnStart(uint64_t workspace_hash) {
-  ++own_[workspace_hash];
+  ++local_[workspace_hash];
 }
 
 void workspace_limiter::OnEnd(uint64_t workspace_hash) {
-  const auto found = own_.find(workspace_hash);
-  assert(found != own_.end() && "a request ended that was never started");
+  const auto found = local_.find(workspace_hash);
+  assert(found != local_.end() && "a request ended that was never started");
   if (--found->second == 0) {
-    own_.erase(found);
+    local_.erase(found);
   }
 }
 
@@ -51,8 +51,8 @@
 
 std::vector<workspace_use> workspace_limiter::ListUsage() const {
   std::vector<workspace_use> usage;
-  usage.reserve(own_.size());
-  for (const auto& [hash, in_flight] : own_) {
+  usage.reserve(local_.size());
+  for (const auto& [hash, in_flight] : local_) {
     usage.push_back({.workspace_hash = hash, .in_flight = in_flight});
   }
   std::sort(usage.begin(), usage.end(),
@@ -64,8 +64,8 @@
 }
 
 uint32_t workspace_limiter::InFlight(uint64_t workspace_hash) const {
-  const auto found = own_.find(workspace_hash);
-  return found == own_.end() ? 0 : found->second;
+  const auto found = local_.find(workspace_hash);
+  return found == local_.end() ? 0 : found->second;
 }
 
 }  // namespace cuminswitch
