--- a/unittests/Admission/limit_fleet_test.cc
+++ b/unittests/Admission/limit_fleet_test.cc
@@ -1,10 +1,9 @@
-// What an upstream that names a limit gets from fleets of many daemons.
+// Requests that fleets of many daemons send to an upstream that advertises a
+// rate limit, in virtual time.
 //
-// Symptom: an upstream in need gets more than it can take, and fails.
-// Sequence: it names the requests a second that it takes; every daemon has some
-// requests that would go there.
-// Cause: each daemon decides by itself, and the limit is less than a request
-// for each of them.
+// Guards against an overloaded upstream that gets more requests than it can
+// serve and fails: each daemon decides by itself, all have requests for it, and
+// the limit is less than one request per daemon.
 #include <gtest/gtest.h>
 
 #include <numeric>
@@ -17,10 +16,11 @@
 namespace cuminswitch {
 namespace {
 
-constexpr double kWindow = kLimitWindow.count();
-constexpr double kSeconds = 40;
-/// A daemon is bound so long after it has passed on an answer with the limit.
-constexpr double kHeedSeconds = 0.5;
+constexpr double kWindowSeconds = kLimitWindow.count();
+constexpr double kRunSeconds = 40;
+/// A daemon must respect a limit from this time on after it has forwarded a
+/// response that advertises it.
+constexpr double kComplianceDelaySeconds = 0.5;
 
 quota_fleet::load Callers(size_t daemons, std::function<double(double)> rate) {
   return {.rate = std::move(rate),
@@ -38,17 +38,17 @@
   quota_fleet::options Options() const {
     return {.daemons = size(), .fallback = quota_fallback::kRefuse};
   }
-  void Name(quota_fleet& fleet) const {
+  void SetAdvertisedLimit(quota_fleet& fleet) const {
     const quota_limit quota = QuotaOfLimit(rate());
     fleet.SetLimit(quota.rate, quota.burst, 0);
   }
   quota_fleet::load Steady(double share) const {
     return Callers(size(), [=, this](double) { return share * rate(); });
   }
-  void ExpectKept(const quota_fleet& fleet) const {
-    EXPECT_LE(fleet.MostWithin(kWindow), AllowedByLimit(rate()));
+  void ExpectWithinLimit(const quota_fleet& fleet) const {
+    EXPECT_LE(fleet.MostWithin(kWindowSeconds), AllowedByLimit(rate()));
   }
-  double Used(const quota_fleet& fleet, double seconds) const {
+  double UsedShare(const quota_fleet& fleet, double seconds) const {
     return fleet.admitted() / rate() / seconds;
   }
 };
@@ -58,109 +58,109 @@
     testing::Combine(testing::Values(1, 2, 3, 8, 68, 300, 600),
                      testing::Values(0.2, 1.0, 5.0, 200.0)));
 
-TEST_P(limit_fleet, WhatGoesElsewhereLeavesTheLimitUsed) {
+TEST_P(limit_fleet, KeepsAndUsesTheLimitWhenExcessGoesElsewhere) {
   quota_fleet fleet(Options());
-  Name(fleet);
-  fleet.Run(kSeconds, Steady(5));
-  ExpectKept(fleet);
-  EXPECT_GE(Used(fleet, kSeconds), 0.9);
+  SetAdvertisedLimit(fleet);
+  fleet.Run(kRunSeconds, Steady(5));
+  ExpectWithinLimit(fleet);
+  EXPECT_GE(UsedShare(fleet, kRunSeconds), 0.9);
 }
 
-TEST_P(limit_fleet, WhatWaitsUsesIt) {
+TEST_P(limit_fleet, KeepsAndUsesTheLimitWhenExcessWaits) {
   quota_fleet fleet(Options());
-  Name(fleet);
+  SetAdvertisedLimit(fleet);
   quota_fleet::load callers = Steady(5);
   callers.waits = true;
-  fleet.Run(kSeconds, callers);
-  ExpectKept(fleet);
-  EXPECT_GE(Used(fleet, kSeconds), 0.9);
+  fleet.Run(kRunSeconds, callers);
+  ExpectWithinLimit(fleet);
+  EXPECT_GE(UsedShare(fleet, kRunSeconds), 0.9);
 }
 
-TEST_P(limit_fleet, ALoadThatBeginsAtOnceStaysWithinIt) {
+TEST_P(limit_fleet, KeepsTheLimitWhenLoadStartsSuddenly) {
   quota_fleet fleet(Options());
-  Name(fleet);
-  fleet.Run(kSeconds, Callers(size(), [this](double now) {
-              return now < kSeconds / 2 ? 0 : 50 * rate();
+  SetAdvertisedLimit(fleet);
+  fleet.Run(kRunSeconds, Callers(size(), [this](double now) {
+              return now < kRunSeconds / 2 ? 0 : 50 * rate();
             }));
-  ExpectKept(fleet);
-  EXPECT_GE(Used(fleet, kSeconds / 2), 0.9);
+  ExpectWithinLimit(fleet);
+  EXPECT_GE(UsedShare(fleet, kRunSeconds / 2), 0.9);
 }
 
-TEST_P(limit_fleet, KilledDaemonsNeitherOpenNorCloseIt) {
+TEST_P(limit_fleet, KeepsAndUsesTheLimitWhenDaemonsAreKilled) {
   quota_fleet fleet(Options());
-  Name(fleet);
+  SetAdvertisedLimit(fleet);
   for (size_t i = 0; i < 20; ++i) {
     fleet.At(2 + static_cast<double>(i), [&fleet, i] {
       fleet.Kill(std::vector<size_t>{i * fleet.size() / 20}, 1);
     });
   }
-  fleet.Run(kSeconds, Steady(5));
-  // What a daemon sends in its first half second is not held against the limit:
-  // it cannot have passed on an answer so long before. It begins with half a
-  // second's worth where it is an owner.
-  EXPECT_LE(fleet.MostWithin(kWindow, kHeedSeconds), AllowedByLimit(rate()));
-  // The one daemon of a fleet of one is away for half of the first 20 s.
-  EXPECT_GE(Used(fleet, kSeconds), size() == 1 ? 0.4 : 0.8);
+  fleet.Run(kRunSeconds, Steady(5));
+  // Requests in the first half second of a daemon don't count against the
+  // limit: it cannot have forwarded a response that long before. As an owner it
+  // starts with the units of half a second.
+  EXPECT_LE(fleet.MostWithin(kWindowSeconds, kComplianceDelaySeconds),
+            AllowedByLimit(rate()));
+  // In a fleet of one, the daemon is down for half of the first 20 s.
+  EXPECT_GE(UsedShare(fleet, kRunSeconds), size() == 1 ? 0.4 : 0.8);
 }
 
-// Symptom: an upstream gets up to twice what it takes while daemons are stopped
-// one after the other.
-// Sequence: the owner of its limit is told to stop; all others ask the next
-// one; it serves on for seconds.
-// Cause: it went on to decide for itself, as the owner in its own eyes.
-TEST_P(limit_fleet, StoppingOneAfterTheOtherKeepsIt) {
+// Guards against up to twice the limit while daemons are stopped one after the
+// other: the owner of the limit shuts down and all others query the next owner,
+// but the old one serves requests for some more seconds and still decides about
+// its own as the owner.
+TEST_P(limit_fleet, KeepsTheLimitDuringARollingRestart) {
   quota_fleet fleet(Options());
-  Name(fleet);
+  SetAdvertisedLimit(fleet);
   for (size_t i = 0; i < 16; ++i) {
     fleet.At(2 + 2 * static_cast<double>(i),
              [&fleet, i] { fleet.Stop(i * fleet.size() / 16, 6); });
   }
-  fleet.Run(kSeconds, Steady(20));
-  ExpectKept(fleet);
+  fleet.Run(kRunSeconds, Steady(20));
+  ExpectWithinLimit(fleet);
 }
 
-TEST_P(limit_fleet, AllKilledAtOnceBeginWithLittle) {
+TEST_P(limit_fleet, KeepsTheLimitWhenAllDaemonsAreKilled) {
   quota_fleet fleet(Options());
-  Name(fleet);
+  SetAdvertisedLimit(fleet);
   std::vector<size_t> all(size());
   std::iota(all.begin(), all.end(), 0);
   fleet.At(15, [&] { fleet.Kill(all, 0.5); });
-  fleet.Run(kSeconds, Steady(10));
-  ExpectKept(fleet);
+  fleet.Run(kRunSeconds, Steady(10));
+  ExpectWithinLimit(fleet);
 }
 
-TEST_P(limit_fleet, ACutKeepsTheSumWithinIt) {
+TEST_P(limit_fleet, KeepsAndUsesTheLimitAcrossANetworkPartition) {
   for (const double part : {0.2, 0.4}) {
     quota_fleet fleet(Options());
-    Name(fleet);
+    SetAdvertisedLimit(fleet);
     fleet.At(6, [&] {
       fleet.Cut(static_cast<size_t>(part * static_cast<double>(size())));
     });
     fleet.At(22, [&] { fleet.Heal(); });
-    fleet.Run(kSeconds, Steady(8));
-    ExpectKept(fleet);
-    EXPECT_GE(Used(fleet, kSeconds), 0.8);
+    fleet.Run(kRunSeconds, Steady(8));
+    ExpectWithinLimit(fleet);
+    EXPECT_GE(UsedShare(fleet, kRunSeconds), 0.8);
   }
 }
 
-TEST_P(limit_fleet, LostMessagesAndClocksThatRunApartCostLittle) {
+TEST_P(limit_fleet, KeepsAndUsesTheLimitDespiteLossAndClockSkew) {
   quota_fleet::options options = Options();
   options.loss = 0.03;
   options.clock_skew = 0.001;
   quota_fleet fleet(options);
-  Name(fleet);
-  fleet.Run(kSeconds, Steady(5));
-  ExpectKept(fleet);
-  EXPECT_GE(Used(fleet, kSeconds), 0.85);
+  SetAdvertisedLimit(fleet);
+  fleet.Run(kRunSeconds, Steady(5));
+  ExpectWithinLimit(fleet);
+  EXPECT_GE(UsedShare(fleet, kRunSeconds), 0.85);
 }
 
-/// A schedule of kills, cuts and limits that move, from a seed.
+/// Kills and network partitions at random times, under a random limit and load.
 class limit_schedule : public testing::TestWithParam<uint64_t> {};
 INSTANTIATE_TEST_SUITE_P(Seeds,
                          limit_schedule,
                          testing::Range<uint64_t>(1, 41));
 
-TEST_P(limit_schedule, KeepsTheLimit) {
+TEST_P(limit_schedule, KeepsTheLimitUnderRandomFaults) {
   std::mt19937_64 random(GetParam());
   const auto draw = [&](double low, double high) {
     return std::uniform_real_distribution<double>(low, high)(random);
@@ -176,7 +176,7 @@
   const quota_limit quota = QuotaOfLimit(rate);
   fleet.SetLimit(quota.rate, quota.burst, 0);
   bool is_cut = false;
-  for (double at = 5; at < kSeconds; at += draw(1, 8)) {
+  for (double at = 5; at < kRunSeconds; at += draw(1, 8)) {
     const double what = draw(0, 1);
     if (what < 0.5) {
       fleet.At(at, [&fleet, victim = random() % size] {
@@ -194,8 +194,8 @@
   quota_fleet::load callers =
       Callers(size, [&](double) { return draw(0, 12) * rate + 0.01; });
   callers.waits = GetParam() % 2 == 0;
-  fleet.Run(kSeconds, callers);
-  EXPECT_LE(fleet.MostWithin(kWindow), AllowedByLimit(rate))
+  fleet.Run(kRunSeconds, callers);
+  EXPECT_LE(fleet.MostWithin(kWindowSeconds), AllowedByLimit(rate))
       << size << " daemons, limit " << rate;
 }
 
--- a/unittests/Admission/limits_test.cc
+++ b/unittests/Admission/limits_test.cc
@@ -14,7 +14,7 @@
   return time_point(std::chrono::milliseconds(millis));
 }
 
-TEST(WorkspaceLimiterTest, OtherDaemonsRequestsCount) {
+TEST(WorkspaceLimiterTest, CountsRequestsOfOtherDaemons) {
   workspace_limiter limiter;
   limiter.OnStart(1);
   limiter.OnPeerUsage(At(0), "h2", {{.workspace_hash = 1, .in_flight = 3}});
@@ -23,16 +23,16 @@
   EXPECT_TRUE(limiter.HasRoom(At(0), 2, 1));
 }
 
-// Symptom: a workspace stays limited although nothing of it runs.
-// Cause: the last report of a daemon that died is believed for ever.
-TEST(WorkspaceLimiterTest, OldReportIsForgotten) {
+// Guards against a workspace that stays limited without running requests
+// because the last report of a failed daemon never expires.
+TEST(WorkspaceLimiterTest, IgnoresOldReports) {
   workspace_limiter limiter;
   limiter.OnPeerUsage(At(0), "h2", {{.workspace_hash = 1, .in_flight = 9}});
   EXPECT_FALSE(limiter.HasRoom(At(1000), 1, 5));
   EXPECT_TRUE(limiter.HasRoom(At(4000), 1, 5));
 }
 
-TEST(WorkspaceLimiterTest, EndedRequestsMakeRoom) {
+TEST(WorkspaceLimiterTest, EndedRequestsNoLongerCount) {
   workspace_limiter limiter;
   limiter.OnStart(1);
   EXPECT_FALSE(limiter.HasRoom(At(0), 1, 1));
@@ -41,7 +41,7 @@
   EXPECT_TRUE(limiter.ListUsage().empty());
 }
 
-TEST(RetryBudgetTest, RetriesAreAShareOfTheTraffic) {
+TEST(RetryBudgetTest, LimitsRetriesToAShareOfTheTraffic) {
   retry_budget budget({.share = 0.1, .burst = 2});
   EXPECT_TRUE(budget.TrySpend(At(0)));
   EXPECT_TRUE(budget.TrySpend(At(0)));
@@ -54,12 +54,11 @@
   EXPECT_NEAR(spent, 100, 2);
 }
 
-// Symptom: after a crash callers are told 502 although the fleet has repeated
-// far less than it may.
-// Sequence: 100 requests in 10 s; then five of them break at once.
-// Cause: a bucket as small as the daemon's part of the burst forgot what the
-// requests had earned.
-TEST(retry_budget_test, WhatTheWindowEarnedMayBeSpentAtOnce) {
+// Guards against callers that get 502 after a crash although the fleet has
+// retried far less than allowed. After 100 requests in 10 s several fail at
+// once; a token bucket as small as the daemon's share of the burst no longer
+// held the retries that those requests had earned.
+TEST(retry_budget_test, SpendsRetriesEarnedInTheWindowAtOnce) {
   retry_budget budget({.share = 0.1, .burst = 1});
   for (int i = 0; i < 100; ++i) {
     budget.OnFirstAttempt(At(100 * i));
@@ -72,9 +71,10 @@
   EXPECT_LE(spent, 11);
 }
 
-// In every window, wherever it begins: retries within the burst and the share
-// of the first attempts in the window that ends with the last of these retries.
-TEST(retry_budget_test, EveryWindowKeepsTheBound) {
+// In a window from any point in time, the retries are at most the burst plus
+// the share of the first attempts in the window that ends with the last of
+// these retries.
+TEST(retry_budget_test, KeepsTheBoundInEveryWindow) {
   retry_budget budget({.share = 0.2, .burst = 5});
   std::vector<int> first_attempts;
   std::vector<int> retries;
@@ -104,7 +104,7 @@
   }
 }
 
-TEST(retry_budget_test, TheFleetDividesTheBurst) {
+TEST(retry_budget_test, DividesTheBurstByTheLargestFleetSize) {
   retry_budget budget({.share = 0, .burst = 10, .is_shared = true});
   budget.SetFleetSize(5);
   budget.SetFleetSize(1);
@@ -122,7 +122,7 @@
   EXPECT_NEAR(meter.RatePerSecond(At(20'000)), 50, 5);
 }
 
-TEST(DrainMeterTest, KnowsAPositiveRateFromTheStart) {
+TEST(DrainMeterTest, ReturnsAPositiveRateBeforeAnyCompletion) {
   EXPECT_GT(drain_meter().RatePerSecond(At(0)), 0);
 }
 
--- a/unittests/Admission/quota_bucket_test.cc
+++ b/unittests/Admission/quota_bucket_test.cc
@@ -17,19 +17,19 @@
   return bucket;
 }
 
-TEST(QuotaBucket, TakesTheBurstAndThenTheRate) {
+TEST(QuotaBucket, AdmitsTheBurstAndThenTheRate) {
   quota_bucket bucket = MakeBucket(100, 50, 50);
-  int taken = 0;
+  int admitted = 0;
   for (int i = 0; i < 5'000; ++i) {
     const quota_bucket::request item{.weight = 1,
                                      .digest = static_cast<uint64_t>(i) + 1};
-    taken += bucket.Decide(At(i * 0.002), item).is_admitted ? 1 : 0;
+    admitted += bucket.Decide(At(i * 0.002), item).is_admitted ? 1 : 0;
   }
-  EXPECT_GE(taken, 50 + 100 * 10 - 2);
-  EXPECT_LE(taken, 50 + 100 * 10 + 2);
+  EXPECT_GE(admitted, 50 + 100 * 10 - 2);
+  EXPECT_LE(admitted, 50 + 100 * 10 + 2);
 }
 
-TEST(QuotaBucket, TakesARequestThatIsLargerThanTheBurstAndPaysForIt) {
+TEST(QuotaBucket, AdmitsARequestLargerThanTheBurstAndPaysTheDebt) {
   quota_bucket bucket = MakeBucket(100, 50, 50);
   EXPECT_TRUE(bucket.Decide(At(0), {.weight = 250, .digest = 1}).is_admitted);
   const auto refused = bucket.Decide(At(0), {.weight = 1, .digest = 2});
@@ -37,20 +37,19 @@
   EXPECT_NEAR(ToSeconds(refused.retry_after), 2, 0.001);
 }
 
-// Symptom: a caller comes back when it was told to and is refused again, while
-// requests that came in between were taken.
-// Cause: what the bucket gained by then went to whoever came first.
-TEST(QuotaBucket, KeepsAPlaceForThoseThatWereToldToComeBack) {
+// Guards against a caller that observes its Retry-After and is refused again,
+// because requests that arrived meanwhile used up the refilled units.
+TEST(QuotaBucket, ReservesUnitsForRefusedRequests) {
   quota_bucket bucket = MakeBucket(100, 100, -50);
-  const duration patience = std::chrono::seconds(2);
+  const duration max_wait = std::chrono::seconds(2);
   const auto first =
-      bucket.Decide(At(0), {.weight = 30, .digest = 1, .max_wait = patience});
+      bucket.Decide(At(0), {.weight = 30, .digest = 1, .max_wait = max_wait});
   const auto second =
-      bucket.Decide(At(0), {.weight = 30, .digest = 2, .max_wait = patience});
+      bucket.Decide(At(0), {.weight = 30, .digest = 2, .max_wait = max_wait});
   ASSERT_FALSE(first.is_admitted);
   ASSERT_FALSE(second.is_admitted);
   EXPECT_LT(first.retry_after, second.retry_after);
-  // Newcomers all the time.
+  // New requests arrive all the time.
   for (int i = 1; i < 50; ++i) {
     const auto newcomer = bucket.Decide(
         At(i * 0.01),
@@ -59,32 +58,32 @@
   }
   EXPECT_TRUE(bucket
                   .Decide(At(0) + first.retry_after,
-                          {.weight = 30, .digest = 1, .max_wait = patience})
+                          {.weight = 30, .digest = 1, .max_wait = max_wait})
                   .is_admitted);
   EXPECT_TRUE(bucket
                   .Decide(At(0) + second.retry_after,
-                          {.weight = 30, .digest = 2, .max_wait = patience})
+                          {.weight = 30, .digest = 2, .max_wait = max_wait})
                   .is_admitted);
 }
 
-// Symptom: a workspace that stays far over its limit gets less than the limit.
-// Sequence: callers are refused and told to come back, and do not.
-// Cause: their places are kept for ever.
-TEST(QuotaBucket, GivesAwayThePlacesOfThoseThatDoNotComeBack) {
+// Guards against a workspace that stays far over its limit and gets less than
+// the limit: refused callers don't return, and their reservations never expire.
+TEST(QuotaBucket, ReleasesReservationsOfCallersThatDoNotReturn) {
   quota_bucket bucket = MakeBucket(100, 100, 0);
-  double taken = 0;
+  double admitted = 0;
   for (int i = 0; i < 10'000; ++i) {
     const quota_bucket::request item{.weight = 10,
                                      .digest = static_cast<uint64_t>(i) + 1,
                                      .max_wait = std::chrono::seconds(1)};
-    taken += bucket.Decide(At(i * 0.002), item).is_admitted ? item.weight : 0;
+    admitted +=
+        bucket.Decide(At(i * 0.002), item).is_admitted ? item.weight : 0;
   }
-  // 20 s at 100 a second.
-  EXPECT_GE(taken, 1'900);
-  EXPECT_LT(taken, 2'120);
+  // 20 s at 100 units per second.
+  EXPECT_GE(admitted, 1'900);
+  EXPECT_LT(admitted, 2'120);
 }
 
-TEST(QuotaBucket, GivesBackWhatDidNotRun) {
+TEST(QuotaBucket, ReturnsUnusedUnitsUpToTheBurst) {
   quota_bucket bucket = MakeBucket(100, 100, 10);
   EXPECT_TRUE(bucket.Decide(At(0), {.weight = 60, .digest = 1}).is_admitted);
   EXPECT_FALSE(bucket.Decide(At(0), {.weight = 60, .digest = 2}).is_admitted);
@@ -94,7 +93,7 @@
   EXPECT_EQ(bucket.Level(At(0)), 100);
 }
 
-TEST(QuotaBucket, KeepsToALowerLimitAtOnce) {
+TEST(QuotaBucket, AppliesALowerLimitAtOnce) {
   quota_bucket bucket = MakeBucket(100, 100, 100);
   bucket.SetLimit(At(0), 10, 5);
   EXPECT_EQ(bucket.Level(At(0)), 5);
--- a/unittests/Admission/quota_fleet.cc
+++ b/unittests/Admission/quota_fleet.cc
@@ -9,22 +9,26 @@
 
 namespace cuminswitch {
 
-/// Between a change's being noticed by one daemon and the last question that
-/// was asked without it.
-static constexpr double kNoticeSlack = 0.5;
+/// Time from the detection of a change by a daemon to the last query that was
+/// made without it.
+static constexpr double kConvergenceSlackSeconds = 0.5;
 static constexpr double kTickSeconds = 0.05;
-/// A daemon that stops tells the others at once.
-static constexpr double kLeaveSeconds = 0.3;
-static constexpr double kLeastDelay = 0.0008;
-static constexpr double kMostDelay = 0.003;
-static constexpr double kFirstTime = 1'000;
-/// A caller that was refused waits for a third of its time at most.
-static constexpr double kCallerSeconds = 5;
-static constexpr double kReturnPart = 3;
-/// A daemon that asks by turns comes for a turn within this time.
-static constexpr double kTurnSeconds = 10;
-/// More are refused by a daemon.
-static constexpr size_t kMostWaiting = 20;
+/// Longest time until the others see that a daemon shuts down; it reports that
+/// by itself.
+static constexpr double kMaxLeaveSeconds = 0.3;
+/// Bounds of the delay of a message.
+static constexpr double kMinDelaySeconds = 0.0008;
+static constexpr double kMaxDelaySeconds = 0.003;
+/// The daemons' clocks at the start of the simulation.
+static constexpr double kStartSeconds = 1'000;
+/// Time after which a caller gives up. A refused one returns if its Retry-After
+/// is at most 1 / `kReturnDivisor` of the remaining time.
+static constexpr double kCallerTimeoutSeconds = 5;
+static constexpr double kReturnDivisor = 3;
+/// Longest wait for a send slot.
+static constexpr double kMaxSlotWaitSeconds = 10;
+/// Most requests that wait at a daemon; more are refused.
+static constexpr size_t kMaxWaiting = 20;
 
 quota_fleet::quota_fleet(const options& opts)
     : options_(opts), random_(opts.seed), daemons_(opts.daemons) {
@@ -45,17 +49,17 @@
   return std::uniform_real_distribution<double>(low, high)(random_);
 }
 
-time_point quota_fleet::ClockOf(const daemon& item) const {
-  return time_point(FromSeconds(kFirstTime + now_ * item.clock_rate));
+time_point quota_fleet::LocalTime(const daemon& item) const {
+  return time_point(FromSeconds(kStartSeconds + now_ * item.clock_rate));
 }
 
 void quota_fleet::Start(size_t index) {
   daemon& item = daemons_[index];
   item.is_alive = true;
   item.is_leaving = false;
-  // The first ones have been up for long.
-  item.started_at = now_ == 0 ? -kFirstTime : now_;
-  const uint64_t id = index + 1 + daemons_.size() * ++item.starts;
+  // The daemons of the initial fleet have been up for a long time.
+  item.started_at = now_ == 0 ? -kStartSeconds : now_;
+  const uint64_t id = index + 1 + daemons_.size() * ++item.start_count;
   if (options_.way == quota_way::kEven) {
     item.policy =
         std::make_unique<even_quota_policy>(even_quota_policy::options{id});
@@ -65,22 +69,23 @@
             .self = item.address, .id = id, .fallback = options_.fallback});
   }
   if (now_ == 0) {
-    TellFleet(index);
+    UpdateFleetView(index);
     return;
   }
-  // Until it has heard of the others it takes all that are listed to live.
+  // Until it receives heartbeats, it takes all listed daemons for alive.
   std::vector<endpoint> listed;
   for (const daemon& other : daemons_) {
     listed.push_back(other.address);
   }
-  item.policy->SetFleet(ClockOf(item), {.alive = listed,
-                                        .known = daemons_.size(),
-                                        .convergence_time = ConvergenceTime()});
-  At(now_ + Uniform(0.2, 1.2), [this, index] { TellFleet(index); });
+  item.policy->SetFleet(LocalTime(item),
+                        {.alive = listed,
+                         .known = daemons_.size(),
+                         .convergence_time = ConvergenceTime()});
+  At(now_ + Uniform(0.2, 1.2), [this, index] { UpdateFleetView(index); });
 }
 
 duration quota_fleet::ConvergenceTime() const {
-  return FromSeconds(options_.detection_seconds + kNoticeSlack);
+  return FromSeconds(options_.detection_seconds + kConvergenceSlackSeconds);
 }
 
 bool quota_fleet::Reaches(size_t from, size_t to) const {
@@ -88,33 +93,33 @@
          daemons_[from].side == daemons_[to].side;
 }
 
-void quota_fleet::TellFleet(size_t index) {
+void quota_fleet::UpdateFleetView(size_t index) {
   daemon& item = daemons_[index];
   if (!item.is_alive) {
     return;
   }
-  std::vector<endpoint> living;
+  std::vector<endpoint> alive;
   for (size_t i = 0; i < daemons_.size(); ++i) {
     if (i != index && Reaches(index, i) && !daemons_[i].is_leaving) {
-      living.push_back(daemons_[i].address);
+      alive.push_back(daemons_[i].address);
     }
   }
-  item.policy->SetFleet(ClockOf(item), {.alive = living,
-                                        .known = daemons_.size(),
-                                        .convergence_time = ConvergenceTime(),
-                                        .is_leaving = item.is_leaving});
+  item.policy->SetFleet(LocalTime(item), {.alive = alive,
+                                          .known = daemons_.size(),
+                                          .convergence_time = ConvergenceTime(),
+                                          .is_leaving = item.is_leaving});
 }
 
-void quota_fleet::Announce() {
+void quota_fleet::ScheduleFleetViewUpdates() {
   for (size_t i = 0; i < daemons_.size(); ++i) {
-    if (std::exchange(daemons_[i].will_be_told, true)) {
+    if (std::exchange(daemons_[i].has_update_scheduled, true)) {
       continue;
     }
     At(now_ +
            Uniform(options_.detection_seconds / 3, options_.detection_seconds),
        [this, i] {
-         daemons_[i].will_be_told = false;
-         TellFleet(i);
+         daemons_[i].has_update_scheduled = false;
+         UpdateFleetView(i);
        });
   }
 }
@@ -132,14 +137,14 @@
   for (size_t i = 0; i < count; ++i) {
     daemons_[i].side = 1;
   }
-  Announce();
+  ScheduleFleetViewUpdates();
 }
 
 void quota_fleet::Heal() {
   for (daemon& item : daemons_) {
     item.side = 0;
   }
-  Announce();
+  ScheduleFleetViewUpdates();
 }
 
 void quota_fleet::Kill(std::span<const size_t> daemons, double down) {
@@ -147,17 +152,18 @@
     daemons_[index].is_alive = false;
     At(now_ + down + Uniform(0, 0.3), [this, index] {
       Start(index);
-      Announce();
+      ScheduleFleetViewUpdates();
     });
   }
-  Announce();
+  ScheduleFleetViewUpdates();
 }
 
 void quota_fleet::Stop(size_t index, double grace) {
   daemons_[index].is_leaving = true;
-  TellFleet(index);
+  UpdateFleetView(index);
   for (size_t i = 0; i < daemons_.size(); ++i) {
-    At(now_ + Uniform(kLeastDelay, kLeaveSeconds), [this, i] { TellFleet(i); });
+    At(now_ + Uniform(kMinDelaySeconds, kMaxLeaveSeconds),
+       [this, i] { UpdateFleetView(i); });
   }
   At(now_ + grace, [this, index] { Kill(std::vector<size_t>{index}, 1); });
 }
@@ -169,8 +175,8 @@
 void quota_fleet::Submit(const sent_request& request) {
   daemon& item = daemons_[request.daemon];
   ++sent_;
-  if (request.by_turns && now_ < item.turn_at) {
-    item.waiting += request.waits && item.waiting < kMostWaiting ? 1 : 0;
+  if (request.by_turns && now_ < item.next_slot_at) {
+    item.waiting += request.waits && item.waiting < kMaxWaiting ? 1 : 0;
     --sent_;
     return;
   }
@@ -181,18 +187,18 @@
   const uint64_t ticket = ++next_ticket_;
   requests_[ticket] = request;
   item.policy->Admit(
-      ClockOf(item),
+      LocalTime(item),
       {.ticket = ticket,
        .subject = 77,
        .limit = item.limit,
        .weight = request.weight,
        .digest = request.digest,
-       .max_wait =
-           FromSeconds(std::max(0.0, request.deadline - now_) / kReturnPart)});
-  Settle(request.daemon);
+       .max_wait = FromSeconds(std::max(0.0, request.deadline - now_) /
+                               kReturnDivisor)});
+  ProcessOutput(request.daemon);
 }
 
-void quota_fleet::Settle(size_t index) {
+void quota_fleet::ProcessOutput(size_t index) {
   quota_policy& policy = *daemons_[index].policy;
   for (const outgoing_quota_message& sent : policy.TakeMessages()) {
     ++messages_;
@@ -208,31 +214,32 @@
   if (Uniform(0, 1) < options_.loss) {
     return;
   }
-  At(now_ + Uniform(kLeastDelay, kMostDelay), [this, from, to, sent] {
-    if (!Reaches(from, to)) {
-      return;
-    }
-    daemon& target = daemons_[to];
-    const time_point now = ClockOf(target);
-    if (const auto* ask = std::get_if<quota_query>(&sent.message)) {
-      target.policy->OnQuery(now, *ask);
-    } else {
-      target.policy->OnReply(now, std::get<quota_reply>(sent.message));
-    }
-    Settle(to);
-  });
+  At(now_ + Uniform(kMinDelaySeconds, kMaxDelaySeconds),
+     [this, from, to, sent] {
+       if (!Reaches(from, to)) {
+         return;
+       }
+       daemon& target = daemons_[to];
+       const time_point now = LocalTime(target);
+       if (const auto* query = std::get_if<quota_query>(&sent.message)) {
+         target.policy->OnQuery(now, *query);
+       } else {
+         target.policy->OnReply(now, std::get<quota_reply>(sent.message));
+       }
+       ProcessOutput(to);
+     });
 }
 
-void quota_fleet::AwaitTurn(const sent_request& request, double wait) {
+void quota_fleet::WaitForSendSlot(const sent_request& request, double wait) {
   daemon& item = daemons_[request.daemon];
-  item.turn_at = now_ + wait;
+  item.next_slot_at = now_ + wait;
   item.waiting += request.waits ? 1 : 0;
   if (item.waiting == 0) {
     return;
   }
-  At(item.turn_at, [this, request] {
+  At(item.next_slot_at, [this, request] {
     daemon& waiting = daemons_[request.daemon];
-    if (waiting.waiting > 0 && now_ >= waiting.turn_at) {
+    if (waiting.waiting > 0 && now_ >= waiting.next_slot_at) {
       --waiting.waiting;
       Submit(request);
     }
@@ -245,8 +252,9 @@
   requests_.erase(found);
   if (decision.is_admitted) {
     daemon& item = daemons_[request.daemon];
-    admissions_.push_back(
-        {.at = now_, .weight = request.weight, .up = now_ - item.started_at});
+    admissions_.push_back({.at = now_,
+                           .weight = request.weight,
+                           .uptime = now_ - item.started_at});
     if (item.waiting > 0) {
       --item.waiting;
       Submit(request);
@@ -255,10 +263,10 @@
   }
   const double wait = ToSeconds(decision.retry_after);
   if (request.by_turns) {
-    AwaitTurn(request, wait);
+    WaitForSendSlot(request, wait);
     return;
   }
-  if (request.is_repeat || wait > (request.deadline - now_) / kReturnPart) {
+  if (request.is_repeat || wait > (request.deadline - now_) / kReturnDivisor) {
     refused_again_ += request.is_repeat ? 1 : 0;
     ++refused_;
     return;
@@ -288,24 +296,26 @@
   At(now_ + gap, [this, callers, until] {
     const size_t daemon = callers.choose(now_, random_);
     if (callers.by_turns) {
-      Submit(
-          {.daemon = daemon,
-           .weight = 1,
-           .digest = daemon + 1,
-           .deadline = now_ + (callers.waits ? kReturnPart * kTurnSeconds : 0),
-           .by_turns = true,
-           .waits = callers.waits});
+      Submit({.daemon = daemon,
+              .weight = 1,
+              .digest = daemon + 1,
+              .deadline =
+                  now_ +
+                  (callers.waits ? kReturnDivisor * kMaxSlotWaitSeconds : 0),
+              .by_turns = true,
+              .waits = callers.waits});
       ScheduleArrivals(callers, until);
       return;
     }
-    // As prompts are: most are near the middle, a few five times as long.
+    // Distributed like prompts: most are near the mean, a few up to five times
+    // as long.
     std::lognormal_distribution<double> weights(-0.32, 0.8);
     const double weight = std::min(callers.mean_weight * 5,
                                    callers.mean_weight * weights(random_));
     Submit({.daemon = daemon,
             .weight = weight,
             .digest = random_() | 1,
-            .deadline = now_ + kCallerSeconds});
+            .deadline = now_ + kCallerTimeoutSeconds});
     ScheduleArrivals(callers, until);
   });
 }
@@ -317,8 +327,8 @@
     At(at, [this] {
       for (size_t i = 0; i < daemons_.size(); ++i) {
         if (daemons_[i].is_alive) {
-          daemons_[i].policy->OnTick(ClockOf(daemons_[i]));
-          Settle(i);
+          daemons_[i].policy->OnTick(LocalTime(daemons_[i]));
+          ProcessOutput(i);
         }
       }
     });
@@ -334,20 +344,20 @@
 }
 
 double quota_fleet::MostWithin(double window, double least_up) const {
-  double most = 0;
+  double largest = 0;
   double sum = 0;
   size_t first = 0;
   const auto counted = [&](const admission& item) {
-    return item.up >= least_up ? item.weight : 0;
+    return item.uptime >= least_up ? item.weight : 0;
   };
   for (const admission& item : admissions_) {
     sum += counted(item);
     while (admissions_[first].at <= item.at - window) {
       sum -= counted(admissions_[first++]);
     }
-    most = std::max(most, sum);
+    largest = std::max(largest, sum);
   }
-  return most;
+  return largest;
 }
 
 double quota_fleet::admitted() const {
--- a/unittests/Admission/quota_fleet.h
+++ b/unittests/Admission/quota_fleet.h
@@ -1,5 +1,5 @@
 /// \file
-/// Many daemons that keep to quotas, in virtual time.
+/// Simulates a fleet of daemons that enforce a quota, in virtual time.
 #ifndef CUMINSWITCH_UNITTESTS_ADMISSION_QUOTA_FLEET_H_
 #define CUMINSWITCH_UNITTESTS_ADMISSION_QUOTA_FLEET_H_
 
@@ -16,12 +16,12 @@
 
 namespace cuminswitch {
 
-/// Which policy a fleet runs.
+/// The policy that a fleet runs.
 enum class quota_way { kOwner, kEven };
 
 /// A fleet's daemons, the network between them, and the callers of one
-/// workspace. Daemons learn who lives late, messages take time and get lost,
-/// and whoever is refused comes back once when it was told to.
+/// workspace. Daemons learn late which others are alive, messages are delayed
+/// or lost, and a refused caller returns once, after its Retry-After.
 class quota_fleet {
  public:
   struct options {
@@ -29,50 +29,54 @@
     quota_way way = quota_way::kOwner;
     quota_fallback fallback = quota_fallback::kEvenShare;
     uint64_t seed = 1;
-    /// How long after a change a daemon knows it; spread over the fleet.
+    /// Longest time until a daemon sees a change of the fleet.
     double detection_seconds = 2.2;
+    /// Share of messages that are lost.
     double loss = 0;
-    /// The daemons' clocks gain or lose up to this share.
+    /// Largest relative error of the daemons' clocks.
     double clock_skew = 0;
   };
   struct load {
-    /// Units a second that callers send, at a time.
+    /// Units per second that callers send, by the time in seconds.
     std::function<double(double)> rate;
-    /// The daemons that callers use at a time, of so many in all.
+    /// Returns the daemon that receives a request at a time in seconds.
     std::function<size_t(double, std::mt19937_64&)> choose;
+    /// Mean units of a request.
     double mean_weight = 9'000;
-    /// Requests weigh one each. A daemon that was turned away asks no more
-    /// before its turn.
+    /// Whether daemons use send slots, as for an upstream's limit: each request
+    /// weighs one unit, and a refused daemon asks for none until its next slot.
     bool by_turns = false;
-    /// By turns, what comes meanwhile waits for the turn and does not go
-    /// elsewhere.
+    /// With send slots, whether requests that arrive before the slot wait for
+    /// it instead of going to another upstream.
     bool waits = false;
   };
 
   explicit quota_fleet(const options& opts);
 
-  /// Sets what the daemons believe the limit to be, each up to \p spread
-  /// seconds from now.
+  /// Sets the limit in units per second; each daemon applies it within
+  /// \p spread seconds.
   void SetLimit(double rate, double burst, double spread);
-  /// Splits the fleet: the first \p count daemons hear only each other.
+  /// Partitions the network: the first \p count daemons reach only each other.
   void Cut(size_t count);
+  /// Ends the network partition.
   void Heal();
-  /// Kills daemons; they are back, knowing nothing, \p down seconds later.
+  /// Kills daemons; they restart without state \p down seconds later.
   void Kill(std::span<const size_t> daemons, double down);
-  /// Stops a daemon gracefully: it takes requests for \p grace seconds more,
-  /// and is back, knowing nothing, a second after that.
+  /// Stops a daemon gracefully: it serves requests for \p grace more seconds,
+  /// and restarts without state a second after that.
   void Stop(size_t index, double grace);
-  /// Runs \p action at a time.
+  /// Runs \p action at the time \p when, in seconds.
   void At(double when, std::function<void()> action);
   void Run(double seconds, const load& callers);
 
-  /// The most that was admitted within any window, by daemons that had been up
-  /// for \p least_up seconds.
+  /// Returns the most units admitted within any \p window seconds by daemons
+  /// that had been up for \p least_up seconds.
   double MostWithin(double window, double least_up = 0) const;
+  /// Returns all units admitted.
   double admitted() const;
-  /// Of the requests that were sent, those refused for good.
+  /// Returns the share of requests that were finally refused.
   double RefusedShare() const;
-  /// Callers that kept to their Retry-After, and those refused again.
+  /// Callers that returned after their Retry-After, and those refused again.
   size_t came_back() const { return came_back_; }
   size_t refused_again() const { return refused_again_; }
   size_t messages() const { return messages_; }
@@ -84,16 +88,17 @@
     endpoint address;
     quota_limit limit;
     double clock_rate = 1;
+    /// Side of the network partition.
     size_t side = 0;
     bool is_alive = true;
     bool is_leaving = false;
-    /// It will hear of the latest changes.
-    bool will_be_told = false;
-    uint64_t starts = 0;
+    /// Whether an update of its fleet view is scheduled.
+    bool has_update_scheduled = false;
+    uint64_t start_count = 0;
     double started_at = 0;
-    /// Before this it asks nothing, where it asks by turns.
-    double turn_at = 0;
-    /// Requests that wait for the turn.
+    /// Time of its next send slot.
+    double next_slot_at = 0;
+    /// Number of requests that wait for the send slot.
     size_t waiting = 0;
   };
   struct sent_request {
@@ -108,20 +113,23 @@
   struct admission {
     double at = 0;
     double weight = 0;
-    /// For how long its daemon had been up.
-    double up = 0;
+    /// Uptime of the daemon, in seconds.
+    double uptime = 0;
   };
 
-  time_point ClockOf(const daemon& item) const;
+  /// Returns the time by the daemon's own clock.
+  time_point LocalTime(const daemon& item) const;
   duration ConvergenceTime() const;
   void Start(size_t index);
-  void TellFleet(size_t index);
-  /// All learn of a change, each at its own time.
-  void Announce();
+  /// Updates a daemon's view of the fleet.
+  void UpdateFleetView(size_t index);
+  /// Schedules an update of each daemon's view, each at a time of its own.
+  void ScheduleFleetViewUpdates();
   void Submit(const sent_request& request);
-  /// A daemon was turned away, and its turn comes \p wait seconds from now.
-  void AwaitTurn(const sent_request& request, double wait);
-  void Settle(size_t index);
+  /// Sets the daemon's next send slot to \p wait seconds from now.
+  void WaitForSendSlot(const sent_request& request, double wait);
+  /// Delivers the messages and decisions that a daemon's policy has made.
+  void ProcessOutput(size_t index);
   void OnDecision(const quota_decision& decision);
   void Deliver(size_t from, const outgoing_quota_message& sent);
   bool Reaches(size_t from, size_t to) const;
@@ -130,6 +138,7 @@
 
   options options_;
   std::mt19937_64 random_;
+  /// Virtual time in seconds.
   double now_ = 0;
   std::multimap<double, std::function<void()>> events_;
   std::vector<daemon> daemons_;
--- a/unittests/Admission/quota_fleet_test.cc
+++ b/unittests/Admission/quota_fleet_test.cc
@@ -1,5 +1,5 @@
-// What a workspace gets of its quota from fleets of many daemons, and what the
-// fleet lets through in all.
+// How much of its quota a workspace gets from fleets of many daemons, and how
+// much the fleet admits in total, in virtual time.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -10,15 +10,15 @@
 namespace cuminswitch {
 namespace {
 
-// The aim: in any window of 8 s no more than a tenth over (rate x window +
-// burst), and a slack that some requests take.
-constexpr double kWindow = 8;
-constexpr double kOver = 0.1;
-constexpr double kSlack = 110'000;
-constexpr double kRate = 150'000;
+// The requirement: in any window of 8 s at most a tenth more than (rate x
+// window + burst), and a slack of some requests.
+constexpr double kWindowSeconds = 8;
+constexpr double kTolerance = 0.1;
+constexpr double kSlackUnits = 110'000;
+constexpr double kUnitsPerSecond = 150'000;
 
 double Allowed(double rate, double burst) {
-  return (rate * kWindow + burst) * (1 + kOver) + kSlack;
+  return (rate * kWindowSeconds + burst) * (1 + kTolerance) + kSlackUnits;
 }
 
 auto Steady(double rate) {
@@ -31,8 +31,8 @@
   };
 }
 
-/// On three hosts, others every two seconds.
-auto Gathered(size_t daemons) {
+/// Chooses among three daemons; every two seconds among three others.
+auto OnThreeHosts(size_t daemons) {
   return [daemons](double now, std::mt19937_64& random) {
     const auto turn = static_cast<size_t>(now / 2);
     const size_t place = std::uniform_int_distribution<size_t>(0, 2)(random);
@@ -45,133 +45,152 @@
                          quota_fleet_sizes,
                          testing::Values(1, 8, 68, 300, 600));
 
-TEST_P(quota_fleet_sizes, ABeginAtTenTimesTheLimitStaysWithinIt) {
+TEST_P(quota_fleet_sizes, KeepsTheLimitWhenLoadJumpsToTenTimesIt) {
   quota_fleet fleet({.daemons = GetParam()});
-  fleet.SetLimit(kRate, kRate, 0);
-  fleet.Run(
-      20,
-      {.rate = [](double now) { return now < 5 ? 0.9 * kRate : 10 * kRate; },
-       .choose = Anywhere(GetParam())});
-  EXPECT_LE(fleet.MostWithin(kWindow), Allowed(kRate, kRate));
-  EXPECT_GE(fleet.admitted(), 0.9 * 20 * kRate * 0.9);
+  fleet.SetLimit(kUnitsPerSecond, kUnitsPerSecond, 0);
+  fleet.Run(20, {.rate =
+                     [](double now) {
+                       return now < 5 ? 0.9 * kUnitsPerSecond
+                                      : 10 * kUnitsPerSecond;
+                     },
+                 .choose = Anywhere(GetParam())});
+  EXPECT_LE(fleet.MostWithin(kWindowSeconds),
+            Allowed(kUnitsPerSecond, kUnitsPerSecond));
+  EXPECT_GE(fleet.admitted(), 0.9 * 20 * kUnitsPerSecond * 0.9);
 }
 
-TEST_P(quota_fleet_sizes, GatheredArrivalsThatMoveStayWithinIt) {
+TEST_P(quota_fleet_sizes, KeepsTheLimitWhenArrivalsMoveBetweenHosts) {
   quota_fleet fleet({.daemons = GetParam()});
-  fleet.SetLimit(kRate, kRate, 0);
-  fleet.Run(20, {.rate = Steady(5 * kRate), .choose = Gathered(GetParam())});
-  EXPECT_LE(fleet.MostWithin(kWindow), Allowed(kRate, kRate));
+  fleet.SetLimit(kUnitsPerSecond, kUnitsPerSecond, 0);
+  fleet.Run(20, {.rate = Steady(5 * kUnitsPerSecond),
+                 .choose = OnThreeHosts(GetParam())});
+  EXPECT_LE(fleet.MostWithin(kWindowSeconds),
+            Allowed(kUnitsPerSecond, kUnitsPerSecond));
 }
 
-TEST_P(quota_fleet_sizes, WhatIsBelowTheLimitIsTaken) {
-  for (const bool is_gathered : {false, true}) {
+TEST_P(quota_fleet_sizes, AdmitsLoadBelowTheLimit) {
+  for (const bool is_concentrated : {false, true}) {
     for (const bool is_wave : {false, true}) {
       quota_fleet fleet({.daemons = GetParam()});
-      fleet.SetLimit(kRate, kRate, 0);
+      fleet.SetLimit(kUnitsPerSecond, kUnitsPerSecond, 0);
       // The fleet has been up for a while.
       fleet.Run(5, {.rate = Steady(0), .choose = Anywhere(GetParam())});
       fleet.Run(30, {.rate =
                          [&](double now) {
                            const double swing =
                                is_wave ? 0.1 * std::sin(now * 0.571) : 0.0;
-                           return (0.9 + swing) * kRate;
+                           return (0.9 + swing) * kUnitsPerSecond;
                          },
                      .choose =
                          [&](double now, std::mt19937_64& random) {
-                           return is_gathered
-                                      ? Gathered(GetParam())(now, random)
+                           return is_concentrated
+                                      ? OnThreeHosts(GetParam())(now, random)
                                       : Anywhere(GetParam())(now, random);
                          }});
       EXPECT_LE(fleet.RefusedShare(), 0.01)
-          << "gathered " << is_gathered << ", in waves " << is_wave;
+          << "concentrated " << is_concentrated << ", in waves " << is_wave;
     }
   }
 }
 
-// An owner that dies must neither let its workspace go unserved nor let it
-// begin anew with a whole burst.
-TEST_P(quota_fleet_sizes, DaemonsThatAreKilledCostLittle) {
+// After the failure of an owner, its workspace must neither be refused nor get
+// a whole burst again.
+TEST_P(quota_fleet_sizes, KeepsTheLimitAndServesWhenDaemonsAreKilled) {
   quota_fleet fleet({.daemons = GetParam()});
-  fleet.SetLimit(kRate, kRate, 0);
+  fleet.SetLimit(kUnitsPerSecond, kUnitsPerSecond, 0);
   for (size_t i = 0; i < GetParam() && i < 20; ++i) {
     fleet.At(2 + static_cast<double>(i), [&fleet, i] {
       const std::vector<size_t> victim{i * fleet.size() / 20};
       fleet.Kill(victim, 1);
     });
   }
-  fleet.Run(25, {.rate = Steady(0.9 * kRate), .choose = Anywhere(GetParam())});
+  fleet.Run(25, {.rate = Steady(0.9 * kUnitsPerSecond),
+                 .choose = Anywhere(GetParam())});
   EXPECT_LE(fleet.RefusedShare(), 0.05);
-  EXPECT_LE(fleet.MostWithin(kWindow), Allowed(kRate, kRate));
+  EXPECT_LE(fleet.MostWithin(kWindowSeconds),
+            Allowed(kUnitsPerSecond, kUnitsPerSecond));
 }
 
-TEST_P(quota_fleet_sizes, ACutLeavesTheSumWithinTheLimit) {
+TEST_P(quota_fleet_sizes, KeepsTheLimitAcrossANetworkPartition) {
   for (const double part : {0.2, 0.4}) {
     quota_fleet fleet({.daemons = GetParam()});
-    fleet.SetLimit(kRate, kRate, 0);
+    fleet.SetLimit(kUnitsPerSecond, kUnitsPerSecond, 0);
     const auto cut =
         static_cast<size_t>(part * static_cast<double>(GetParam()));
     fleet.At(6, [&fleet, cut] { fleet.Cut(cut); });
     fleet.At(20, [&fleet] { fleet.Heal(); });
-    fleet.Run(30, {.rate = Steady(8 * kRate), .choose = Anywhere(GetParam())});
-    EXPECT_LE(fleet.MostWithin(kWindow), Allowed(kRate, kRate)) << part;
+    fleet.Run(30, {.rate = Steady(8 * kUnitsPerSecond),
+                   .choose = Anywhere(GetParam())});
+    EXPECT_LE(fleet.MostWithin(kWindowSeconds),
+              Allowed(kUnitsPerSecond, kUnitsPerSecond))
+        << part;
   }
 }
 
-// What was admitted before is forgotten by those that were killed.
-TEST_P(quota_fleet_sizes, AHerdThatIsKilledDoesNotGetTheBurstAgain) {
+// Killed daemons lose the count of what they admitted.
+TEST_P(quota_fleet_sizes, DoesNotGrantTheBurstAgainAfterMassKills) {
   for (const double part : {0.5, 1.0}) {
     quota_fleet fleet({.daemons = GetParam()});
-    fleet.SetLimit(kRate, kRate, 0);
-    std::vector<size_t> herd(
+    fleet.SetLimit(kUnitsPerSecond, kUnitsPerSecond, 0);
+    std::vector<size_t> killed(
         static_cast<size_t>(std::ceil(part * static_cast<double>(GetParam()))));
-    std::iota(herd.begin(), herd.end(), 0);
-    fleet.At(5, [&fleet, herd] { fleet.Kill(herd, 1); });
-    fleet.Run(16, {.rate = Steady(10 * kRate), .choose = Anywhere(GetParam())});
-    EXPECT_LE(fleet.MostWithin(kWindow), Allowed(kRate, kRate)) << part;
+    std::iota(killed.begin(), killed.end(), 0);
+    fleet.At(5, [&fleet, killed] { fleet.Kill(killed, 1); });
+    fleet.Run(16, {.rate = Steady(10 * kUnitsPerSecond),
+                   .choose = Anywhere(GetParam())});
+    EXPECT_LE(fleet.MostWithin(kWindowSeconds),
+              Allowed(kUnitsPerSecond, kUnitsPerSecond))
+        << part;
   }
 }
 
-TEST_P(quota_fleet_sizes, ALimitThatIsLoweredHoldsOneWindowLater) {
+TEST_P(quota_fleet_sizes, AppliesALoweredLimitWithinOneWindow) {
   quota_fleet fleet({.daemons = GetParam()});
-  fleet.SetLimit(10 * kRate, 10 * kRate, 0);
-  quota_fleet::load callers{.rate = Steady(5 * kRate),
+  fleet.SetLimit(10 * kUnitsPerSecond, 10 * kUnitsPerSecond, 0);
+  quota_fleet::load callers{.rate = Steady(5 * kUnitsPerSecond),
                             .choose = Anywhere(GetParam())};
   fleet.Run(5, callers);
-  fleet.SetLimit(kRate, kRate, 3);
+  fleet.SetLimit(kUnitsPerSecond, kUnitsPerSecond, 3);
   fleet.Run(3, callers);
   const double before = fleet.admitted();
-  fleet.Run(kWindow, callers);
-  EXPECT_LE(fleet.admitted() - before, Allowed(kRate, kRate));
-  // And raised again it is used at once.
-  fleet.SetLimit(10 * kRate, 10 * kRate, 0);
+  fleet.Run(kWindowSeconds, callers);
+  EXPECT_LE(fleet.admitted() - before,
+            Allowed(kUnitsPerSecond, kUnitsPerSecond));
+  // A raised limit is used at once.
+  fleet.SetLimit(10 * kUnitsPerSecond, 10 * kUnitsPerSecond, 0);
   const double lowered = fleet.admitted();
   fleet.Run(4, callers);
-  EXPECT_GE(fleet.admitted() - lowered, 0.9 * 4 * 5 * kRate);
+  EXPECT_GE(fleet.admitted() - lowered, 0.9 * 4 * 5 * kUnitsPerSecond);
 }
 
-TEST(QuotaFleet, WhoKeepsToItsRetryAfterIsSeldomRefusedAgain) {
+TEST(QuotaFleet, SeldomRefusesCallersThatObserveRetryAfter) {
   quota_fleet fleet({.daemons = 68});
-  fleet.SetLimit(kRate, kRate, 0);
-  fleet.Run(30, {.rate = Steady(1.5 * kRate), .choose = Anywhere(68)});
+  fleet.SetLimit(kUnitsPerSecond, kUnitsPerSecond, 0);
+  fleet.Run(30,
+            {.rate = Steady(1.5 * kUnitsPerSecond), .choose = Anywhere(68)});
   ASSERT_GT(fleet.came_back(), 50U);
   EXPECT_LE(static_cast<double>(fleet.refused_again()),
             0.05 * static_cast<double>(fleet.came_back()));
 }
 
-// Even parts are the fallback; alone they lose most of a workspace's requests
-// that are below its limit, since one prompt weighs more than a part.
-TEST(QuotaFleet, EvenPartsHoldTheSumAndRefuseWhatIsBelowTheLimit) {
+// Even shares are only the fallback: by themselves they refuse most of a
+// workspace's requests below its limit, since one prompt weighs more than a
+// share.
+TEST(QuotaFleet, EvenSharesKeepTheLimitButRefuseLoadBelowIt) {
   quota_fleet fleet({.daemons = 68, .way = quota_way::kEven});
-  fleet.SetLimit(kRate, kRate, 0);
-  fleet.Run(30, {.rate = Steady(0.9 * kRate), .choose = Anywhere(68)});
-  EXPECT_LE(fleet.MostWithin(kWindow), Allowed(kRate, kRate));
+  fleet.SetLimit(kUnitsPerSecond, kUnitsPerSecond, 0);
+  fleet.Run(30,
+            {.rate = Steady(0.9 * kUnitsPerSecond), .choose = Anywhere(68)});
+  EXPECT_LE(fleet.MostWithin(kWindowSeconds),
+            Allowed(kUnitsPerSecond, kUnitsPerSecond));
   EXPECT_GT(fleet.RefusedShare(), 0.01);
 }
 
-/// Troubles at random times; returns the share that was refused.
-double PlayRandom(uint64_t seed, double load) {
+/// Runs a fleet with faults at random times; returns the share of requests that
+/// were refused.
+double RunWithRandomFaults(uint64_t seed, double load) {
   std::mt19937_64 random(seed);
-  const auto any = [&](double low, double high) {
+  const auto draw = [&](double low, double high) {
     return std::uniform_real_distribution<double>(low, high)(random);
   };
   const size_t sizes[] = {3, 8, 30, 68};
@@ -179,16 +198,16 @@
   quota_fleet fleet(
       {.daemons = size,
        .seed = seed,
-       .detection_seconds = any(0.5, 1.3 + 0.0225 * static_cast<double>(size)),
-       .loss = any(0, 0.02),
+       .detection_seconds = draw(0.5, 1.3 + 0.0225 * static_cast<double>(size)),
+       .loss = draw(0, 0.02),
        .clock_skew = 0.001});
-  fleet.SetLimit(kRate, kRate, 0);
-  const size_t troubles = 1 + random() % 4;
-  for (size_t i = 0; i < troubles; ++i) {
-    const double at = any(1, 20);
+  fleet.SetLimit(kUnitsPerSecond, kUnitsPerSecond, 0);
+  const size_t faults = 1 + random() % 4;
+  for (size_t i = 0; i < faults; ++i) {
+    const double at = draw(1, 20);
     const uint64_t kind = random() % 3;
     const auto part =
-        static_cast<size_t>(any(0.05, 1) * static_cast<double>(size));
+        static_cast<size_t>(draw(0.05, 1) * static_cast<double>(size));
     fleet.At(at, [&fleet, kind, part] {
       std::vector<size_t> some(part);
       std::iota(some.begin(), some.end(), 0);
@@ -201,15 +220,17 @@
       }
     });
   }
-  fleet.Run(25, {.rate = Steady(load * kRate), .choose = Anywhere(size)});
-  EXPECT_LE(fleet.MostWithin(kWindow), Allowed(kRate, kRate))
+  fleet.Run(25,
+            {.rate = Steady(load * kUnitsPerSecond), .choose = Anywhere(size)});
+  EXPECT_LE(fleet.MostWithin(kWindowSeconds),
+            Allowed(kUnitsPerSecond, kUnitsPerSecond))
       << "seed " << seed << ", load " << load << ", daemons " << size;
   return fleet.RefusedShare();
 }
 
-TEST(QuotaFleet, RandomTroublesLeaveTheSumWithinTheLimit) {
+TEST(QuotaFleet, KeepsTheLimitUnderRandomFaults) {
   for (uint64_t seed = 1; seed <= 60; ++seed) {
-    PlayRandom(seed, seed % 2 == 0 ? 10 : 2);
+    RunWithRandomFaults(seed, seed % 2 == 0 ? 10 : 2);
   }
 }
 
--- a/unittests/Admission/request_quarantine_test.cc
+++ b/unittests/Admission/request_quarantine_test.cc
@@ -1,4 +1,4 @@
-// Requests that crash the upstreams that run them.
+// Quarantine of requests that crash the upstreams that run them.
 #include "cuminswitch/Admission/request_quarantine.h"
 
 #include <gtest/gtest.h>
@@ -18,79 +18,80 @@
 
 class request_quarantine_test : public testing::Test {
  protected:
-  bool IsHeldBack(const hash128& request = kRequest) const {
+  bool IsQuarantined(const hash128& request = kRequest) const {
     return quarantine_.TimeLeft(now_, request).has_value();
   }
-  /// A run breaks off now, as long after the last one as it took.
+  /// Ends an execution without a response. It was sent at the previous value of
+  /// `now_`, so it doesn't overlap with an earlier one.
   void Crash(uint64_t upstream, const hash128& request = kRequest) {
-    now_ += kRun;
-    quarantine_.OnCrash(now_, request, upstream, now_ - kRun);
+    now_ += kExecutionTime;
+    quarantine_.OnCrash(now_, request, upstream, now_ - kExecutionTime);
   }
   void CrashThree(const hash128& request = kRequest) {
     for (const uint64_t upstream : {1, 2, 3}) {
       Crash(upstream, request);
     }
   }
-  /// Runs that break off at the same moment.
+  /// Ends overlapping executions at the same moment.
   void CrashAtOnce(std::initializer_list<uint64_t> upstreams) {
-    now_ += kRun;
+    now_ += kExecutionTime;
     for (const uint64_t upstream : upstreams) {
-      quarantine_.OnCrash(now_, kRequest, upstream, now_ - kRun);
+      quarantine_.OnCrash(now_, kRequest, upstream, now_ - kExecutionTime);
     }
   }
   void Complete(const hash128& request, time_point sent) {
     quarantine_.OnCompleted(now_, request, sent);
   }
-  void Tell(uint64_t upstream, duration age = duration(0)) {
+  void ReceiveReport(uint64_t upstream, duration age = duration(0)) {
     quarantine_.OnUpdate(now_, {.crashes = {{.request = kRequest,
                                              .upstream = upstream,
                                              .age = age,
-                                             .took = kRun}},
+                                             .took = kExecutionTime}},
                                 .completions = {}});
   }
 
-  static constexpr duration kRun = milliseconds(40);
+  static constexpr duration kExecutionTime = milliseconds(40);
   time_point now_{seconds(100)};
   request_quarantine quarantine_{{.keeps_events = true}};
 };
 
-TEST_F(request_quarantine_test, ThreeInSequenceQuarantineIt) {
+TEST_F(request_quarantine_test, QuarantinesAfterThreeCrashesInSequence) {
   Crash(1);
   Crash(2);
-  EXPECT_FALSE(IsHeldBack());
+  EXPECT_FALSE(IsQuarantined());
   Crash(3);
-  EXPECT_TRUE(IsHeldBack());
-  EXPECT_FALSE(IsHeldBack(kOther));
+  EXPECT_TRUE(IsQuarantined());
+  EXPECT_FALSE(IsQuarantined(kOther));
 }
 
-TEST_F(request_quarantine_test, OneUpstreamCountsOnce) {
+TEST_F(request_quarantine_test, CountsEachUpstreamOnce) {
   for (int i = 0; i < 5; ++i) {
     Crash(1);
-    Tell(1);
+    ReceiveReport(1);
   }
-  EXPECT_FALSE(IsHeldBack());
+  EXPECT_FALSE(IsQuarantined());
 }
 
-// Upstreams may crash at once for another reason.
-TEST_F(request_quarantine_test, RunsThatOverlapCountOnce) {
+// Upstreams may crash at once for another reason than the request.
+TEST_F(request_quarantine_test, CountsOverlappingExecutionsOnce) {
   CrashAtOnce({1, 2, 3, 4, 5, 6, 7, 8});
-  EXPECT_FALSE(IsHeldBack());
+  EXPECT_FALSE(IsQuarantined());
 }
 
 TEST_F(request_quarantine_test,
-       OneThatComesInSeveralCopiesIsQuarantinedSooner) {
+       QuarantinesCopiesSentAtOnceAfterFewerCrashesInSequence) {
   CrashAtOnce({1, 2, 3});
   Crash(4);
-  EXPECT_FALSE(IsHeldBack());
+  EXPECT_FALSE(IsQuarantined());
   CrashAtOnce({5});
-  EXPECT_TRUE(IsHeldBack());
+  EXPECT_TRUE(IsQuarantined());
 }
 
-TEST_F(request_quarantine_test, WhatPeersSawCounts) {
+TEST_F(request_quarantine_test, CountsCrashesReportedByPeers) {
   Crash(1);
-  Tell(3, seconds(9));
-  Tell(2, seconds(5));
-  EXPECT_TRUE(IsHeldBack());
+  ReceiveReport(3, seconds(9));
+  ReceiveReport(2, seconds(5));
+  EXPECT_TRUE(IsQuarantined());
   const auto events = quarantine_.TakeEvents();
   ASSERT_EQ(events.size(), 2U);
   EXPECT_EQ(events[0].source, crash_source::kOwn);
@@ -99,28 +100,28 @@
   EXPECT_EQ(events[1].crashes, 3U);
 }
 
-TEST_F(request_quarantine_test, EachNewsIsTakenOnce) {
+TEST_F(request_quarantine_test, ReturnsEachUpdateOnce) {
   Crash(1);
-  const auto news = quarantine_.TakeUpdate(now_ + seconds(2)).crashes;
-  ASSERT_EQ(news.size(), 1U);
-  EXPECT_EQ(news[0].upstream, 1U);
-  EXPECT_EQ(news[0].age, seconds(2));
-  EXPECT_EQ(news[0].took, kRun);
+  const auto update = quarantine_.TakeUpdate(now_ + seconds(2)).crashes;
+  ASSERT_EQ(update.size(), 1U);
+  EXPECT_EQ(update[0].upstream, 1U);
+  EXPECT_EQ(update[0].age, seconds(2));
+  EXPECT_EQ(update[0].took, kExecutionTime);
   EXPECT_TRUE(quarantine_.TakeUpdate(now_).IsEmpty());
 }
 
-// A witness may be gone the next moment.
-TEST_F(request_quarantine_test, WhatAddsUpIsPassedOnNoYounger) {
-  Tell(2, seconds(3));
+// The peer that observed a crash may fail before it has reported it to all.
+TEST_F(request_quarantine_test, RelaysRepeatedCrashesWithTheirAge) {
+  ReceiveReport(2, seconds(3));
   EXPECT_TRUE(quarantine_.TakeUpdate(now_).IsEmpty());
-  Tell(3, seconds(1));
-  const auto news = quarantine_.TakeUpdate(now_ + seconds(2)).crashes;
-  ASSERT_EQ(news.size(), 1U);
-  EXPECT_EQ(news[0].upstream, 3U);
-  EXPECT_EQ(news[0].age, seconds(3));
+  ReceiveReport(3, seconds(1));
+  const auto update = quarantine_.TakeUpdate(now_ + seconds(2)).crashes;
+  ASSERT_EQ(update.size(), 1U);
+  EXPECT_EQ(update[0].upstream, 3U);
+  EXPECT_EQ(update[0].age, seconds(3));
 }
 
-TEST_F(request_quarantine_test, AQuarantineStandsForAsLongAsItLasts) {
+TEST_F(request_quarantine_test, ListsActiveCrashesDuringTheQuarantine) {
   Crash(5, kOther);
   CrashThree();
   now_ += seconds(300);
@@ -128,73 +129,73 @@
   EXPECT_EQ(quarantine_.ListOwn(now_).size(), 1U);
 }
 
-// A lost connection is no crash.
-TEST_F(request_quarantine_test, AnUpstreamThatAnswersHasNotCrashed) {
+// A lost connection is not a crash.
+TEST_F(request_quarantine_test, ClearsCrashesOfAnUpstreamThatResponds) {
   CrashThree();
   quarantine_.OnAnswered(3, now_);
-  EXPECT_TRUE(IsHeldBack()) << "the attempt was sent before the crash";
+  EXPECT_TRUE(IsQuarantined()) << "the attempt was sent before the crash";
   quarantine_.OnAnswered(3, now_ + milliseconds(1));
-  EXPECT_FALSE(IsHeldBack());
-  Tell(3);
-  EXPECT_FALSE(IsHeldBack()) << "a peer has not heard of it yet";
+  EXPECT_FALSE(IsQuarantined());
+  ReceiveReport(3);
+  EXPECT_FALSE(IsQuarantined()) << "the peer hasn't received the response";
   EXPECT_TRUE(quarantine_.ListActiveCrashes(now_).empty());
   Crash(4);
-  EXPECT_TRUE(IsHeldBack());
+  EXPECT_TRUE(IsQuarantined());
 }
 
-TEST_F(request_quarantine_test, ALaterRunThatEndsWellClearsIt) {
+TEST_F(request_quarantine_test, ClearsOnALaterExecutionThatCompletes) {
   Crash(1);
   Crash(2);
   const time_point sent = now_ + milliseconds(1);
   now_ += seconds(1);
   Complete(kRequest, sent);
   Crash(3);
-  EXPECT_FALSE(IsHeldBack());
+  EXPECT_FALSE(IsQuarantined());
   Crash(4);
   Crash(5);
-  EXPECT_TRUE(IsHeldBack());
+  EXPECT_TRUE(IsQuarantined());
 }
 
-TEST_F(request_quarantine_test, ARunThatBeganEarlierClearsNothing) {
+TEST_F(request_quarantine_test, IgnoresCompletionsOfEarlierExecutions) {
   CrashThree();
   Complete(kRequest, now_ - seconds(2));
-  EXPECT_TRUE(IsHeldBack());
+  EXPECT_TRUE(IsQuarantined());
 }
 
-TEST_F(request_quarantine_test, PeersHearThatARunEndedWell) {
+TEST_F(request_quarantine_test, ReportsCompletionsToPeers) {
   Crash(1);
   Crash(2);
   now_ += milliseconds(1);
   Complete(kRequest, now_);
-  const auto news = quarantine_.TakeUpdate(now_ + seconds(1));
-  ASSERT_EQ(news.completions.size(), 1U);
-  EXPECT_EQ(news.completions[0].age, seconds(1));
+  const auto update = quarantine_.TakeUpdate(now_ + seconds(1));
+  ASSERT_EQ(update.completions.size(), 1U);
+  EXPECT_EQ(update.completions[0].age, seconds(1));
 
   request_quarantine peer;
   for (const auto& [upstream, age] :
        {std::pair(7, seconds(9)), {8, seconds(6)}, {9, seconds(3)}}) {
     peer.OnCrash(now_ - age, kRequest, static_cast<uint64_t>(upstream),
-                 now_ - age - kRun);
+                 now_ - age - kExecutionTime);
   }
   EXPECT_TRUE(peer.TimeLeft(now_, kRequest));
-  peer.OnUpdate(now_ + seconds(1), news);
+  peer.OnUpdate(now_ + seconds(1), update);
   EXPECT_FALSE(peer.TimeLeft(now_, kRequest));
 }
 
-// The others that ran there were broken off, and go on elsewhere.
-TEST_F(request_quarantine_test, AQuarantineClearsThoseThatRanBesideIt) {
+// Other requests that ran at the crashed upstreams were aborted and retried.
+TEST_F(request_quarantine_test, QuarantineClearsRequestsThatRanBesideIt) {
   Crash(1, kOther);
   Crash(2, kOther);
   CrashThree();
   Crash(3, kOther);
   Crash(4, kOther);
   Crash(5, kOther);
-  EXPECT_FALSE(IsHeldBack(kOther));
+  EXPECT_FALSE(IsQuarantined(kOther));
   Crash(6, kOther);
-  EXPECT_TRUE(IsHeldBack(kOther));
+  EXPECT_TRUE(IsQuarantined(kOther));
 }
 
-TEST_F(request_quarantine_test, AQuarantineLastsFromTheLastCrashOn) {
+TEST_F(request_quarantine_test, QuarantineLastsFromTheLastCrash) {
   Crash(1);
   now_ += seconds(300);
   Crash(2);
@@ -205,29 +206,29 @@
   EXPECT_EQ(quarantine_.CountQuarantined(), 1U);
   now_ += milliseconds(1);
   quarantine_.Expire(now_);
-  EXPECT_FALSE(IsHeldBack());
+  EXPECT_FALSE(IsQuarantined());
   EXPECT_EQ(quarantine_.size(), 0U);
 }
 
-TEST_F(request_quarantine_test, WhatTheStoreListsIsHeldBack) {
+TEST_F(request_quarantine_test, QuarantinesRequestsListedByTheStore) {
   quarantine_.OnStored(now_, std::vector{kRequest});
   quarantine_.OnStored(now_, std::vector{kRequest});
-  EXPECT_TRUE(IsHeldBack());
+  EXPECT_TRUE(IsQuarantined());
   EXPECT_EQ(quarantine_.TakeEvents().size(), 1U);
   EXPECT_TRUE(quarantine_.ListOwn(now_).empty());
-  // A lease that ran out while the store was away ends no quarantine.
+  // A lease that expired during a store outage doesn't end the quarantine.
   quarantine_.OnStored(now_, {});
-  EXPECT_TRUE(IsHeldBack());
+  EXPECT_TRUE(IsQuarantined());
 }
 
-// A great part of a large fleet crashes at once, with all that it runs.
-TEST_F(request_quarantine_test, AMassCrashDoesNotDisplaceQuarantines) {
+// A large part of a large fleet crashes at once, with all requests it runs.
+TEST_F(request_quarantine_test, MassCrashDoesNotEvictQuarantines) {
   CrashThree();
   for (uint64_t i = 0; i < 20'000; ++i) {
     Crash(9, {.high = i, .low = 9});
-    now_ -= kRun;
+    now_ -= kExecutionTime;
   }
-  EXPECT_TRUE(IsHeldBack());
+  EXPECT_TRUE(IsQuarantined());
   EXPECT_LE(quarantine_.size(), 4096U);
   EXPECT_LE(quarantine_.TakeUpdate(now_).crashes.size(), 16U);
 }
--- a/unittests/Admission/retry_fleet_test.cc
+++ b/unittests/Admission/retry_fleet_test.cc
@@ -1,4 +1,4 @@
-// Retries of a fleet whose daemons restart, in virtual time.
+// Retry budget of a fleet whose daemons restart, in virtual time.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 constexpr milliseconds kWindow{10'000};
 constexpr milliseconds kStep{50};
 
-/// Daemons that all have more to retry than they may.
+/// Daemons that always have more requests to retry than the budget allows.
 class retry_fleet {
  public:
   explicit retry_fleet(size_t daemons) : daemons_(daemons) {
@@ -29,7 +29,7 @@
     Run(kWindow + 2 * kStep, 0);
   }
 
-  /// Starts the daemon anew; at first it knows of \p known daemons.
+  /// Restarts the daemon; it knows of \p known daemons at first.
   void Start(size_t number, size_t known) {
     daemons_[number].emplace(retry_budget::options{.share = kShare,
                                                    .burst = kBurst,
@@ -39,8 +39,8 @@
   }
   void Kill(size_t number) { daemons_[number].reset(); }
 
-  /// Each daemon gets a request with the chance \p rate in each step, and
-  /// retries as often as it may.
+  /// Each daemon gets a request with probability \p rate in each step, and
+  /// retries as often as its budget allows.
   void Run(milliseconds span, double rate) {
     const time_point end = now_ + span;
     for (; now_ < end; now_ += kStep) {
@@ -49,7 +49,7 @@
       for (std::optional<retry_budget>& budget : daemons_) {
         const bool has_request =
             std::uniform_real_distribution<>()(random_) < rate;
-        // Callers ask a dead daemon as well.
+        // Callers send requests to a killed daemon as well.
         requests_.back() += has_request ? 1 : 0;
         if (!budget || rate == 0) {
           continue;
@@ -64,8 +64,9 @@
     }
   }
 
-  /// The most retries in any window beyond what requests allow: those of that
-  /// window, the one before it or half a window before, whichever are most.
+  /// Returns the most retries in any window beyond the share of the requests.
+  /// Requests are counted in that window, in the one before it, and in the one
+  /// half a window before; the largest count is used.
   double MostBeyondShare() const {
     const auto length = static_cast<size_t>(kWindow / kStep);
     const auto sum = [&](const std::vector<int>& counts, size_t from) {
@@ -108,8 +109,8 @@
                          retry_fleet_test,
                          testing::Values(1, 2, 6, 7, 33, 68));
 
-// Guards against a restart that renews a daemon's part of the burst.
-TEST_P(retry_fleet_test, KillsAtEachPhaseOfTheWindowRenewNothing) {
+// Guards against a restart that renews a daemon's share of the burst.
+TEST_P(retry_fleet_test, RestartsDoNotRenewTheBurst) {
   for (int phase = 0; phase < 10; ++phase) {
     retry_fleet fleet(GetParam());
     fleet.Run(milliseconds(1000 + 700 * phase), 0.5);
@@ -124,9 +125,9 @@
   }
 }
 
-// Guards against a daemon that starts alone and takes the whole burst for its
-// part.
-TEST_P(retry_fleet_test, DaemonsThatKnowNobodyYetKeepToTheBudget) {
+// Guards against a newly started daemon that knows no others yet and takes the
+// whole burst for its share.
+TEST_P(retry_fleet_test, KeepsTheBudgetBeforePeersAreKnown) {
   retry_fleet fleet(GetParam());
   for (size_t i = 0; i < GetParam(); ++i) {
     fleet.Start(i, 1);
@@ -135,7 +136,7 @@
   EXPECT_LE(fleet.MostBeyondShare(), kBurst);
 }
 
-TEST_P(retry_fleet_test, RandomKillsKeepToTheBudget) {
+TEST_P(retry_fleet_test, KeepsTheBudgetUnderRandomKills) {
   for (int run = 0; run < 5; ++run) {
     retry_fleet fleet(GetParam());
     for (int i = 0; i < 60; ++i) {
@@ -151,8 +152,8 @@
   }
 }
 
-// What callers of a fleet without restarts get stays as it was.
-TEST_P(retry_fleet_test, TheBurstIsWholeAWindowAfterTheStart) {
+// Without restarts, callers get the whole burst.
+TEST_P(retry_fleet_test, GrantsTheWholeBurstAWindowAfterTheStart) {
   retry_fleet fleet(GetParam());
   fleet.Run(milliseconds(1000), 1e-9);
   EXPECT_GE(fleet.retries(),
--- a/unittests/Admission/wait_queue_test.cc
+++ b/unittests/Admission/wait_queue_test.cc
@@ -34,7 +34,7 @@
   return order;
 }
 
-TEST(WaitQueueTest, UrgentRequestsPassLessUrgentOnes) {
+TEST(WaitQueueTest, OrdersByPriority) {
   wait_queue queue;
   queue.Push(MakeWaiting(1, priority_class::kBatch, 0));
   queue.Push(MakeWaiting(2, priority_class::kStandard, 100));
@@ -42,27 +42,27 @@
   EXPECT_EQ(DrainAll(queue), (std::vector<request_id>{3, 2, 1}));
 }
 
-// Symptom: overnight checks never run while there is interactive traffic.
-// Cause: strict priority starves the lower classes.
-TEST(WaitQueueTest, BatchRequestAgesIntoTheFront) {
+// Guards against batch requests that never run while there is interactive
+// traffic: strict priority starves the lower classes.
+TEST(WaitQueueTest, BatchRequestsReachTheFrontInTime) {
   wait_queue queue;
   queue.Push(MakeWaiting(1, priority_class::kBatch, 0));
   queue.Push(MakeWaiting(2, priority_class::kInteractive, 31'000, 2));
   EXPECT_EQ(DrainAll(queue), (std::vector<request_id>{1, 2}));
 }
 
-TEST(WaitQueueTest, WorkspaceWithManyWaitingIsSetBack) {
+TEST(WaitQueueTest, DelaysAWorkspaceWithManyWaitingRequests) {
   wait_queue queue;
   for (request_id id = 1; id <= 10; ++id) {
     queue.Push(MakeWaiting(id, priority_class::kInteractive, 0, 1));
   }
   queue.Push(MakeWaiting(11, priority_class::kInteractive, 50, 2));
   const std::vector<request_id> order = DrainAll(queue);
-  const auto place = std::find(order.begin(), order.end(), 11U);
-  EXPECT_LT(place - order.begin(), 4);
+  const auto position = std::find(order.begin(), order.end(), 11U);
+  EXPECT_LT(position - order.begin(), 4);
 }
 
-TEST(WaitQueueTest, ExpiredRequestsAreTakenOut) {
+TEST(WaitQueueTest, RemovesExpiredRequests) {
   wait_queue queue;
   waiting_request early = MakeWaiting(1, priority_class::kStandard, 0);
   early.deadline = At(10);
@@ -73,13 +73,14 @@
   EXPECT_EQ(queue.size(), 1U);
 }
 
-/// Keeps all requests in one list and sorts it for each question.
+/// Reference implementation: keeps all requests in one list and sorts it for
+/// each query.
 class naive_queue {
  public:
   void Push(const waiting_request& item) {
     static constexpr int kDelays[] = {0, 1000, 30'000};
     const auto same =
-        std::count_if(items_.begin(), items_.end(), [&](const placed& other) {
+        std::count_if(items_.begin(), items_.end(), [&](const entry& other) {
           return other.item.workspace_hash == item.workspace_hash;
         });
     const duration delay = std::chrono::milliseconds(
@@ -88,25 +89,25 @@
   }
   void Remove(request_id id) {
     std::erase_if(items_,
-                  [id](const placed& p) { return p.item.request == id; });
+                  [id](const entry& p) { return p.item.request == id; });
   }
   std::vector<request_id> Order() {
     std::sort(items_.begin(), items_.end(), [](const auto& a, const auto& b) {
       return std::tie(a.at, a.item.request) < std::tie(b.at, b.item.request);
     });
     std::vector<request_id> order;
-    for (const placed& p : items_) {
+    for (const entry& p : items_) {
       order.push_back(p.item.request);
     }
     return order;
   }
 
  private:
-  struct placed {
+  struct entry {
     time_point at;
     waiting_request item;
   };
-  std::vector<placed> items_;
+  std::vector<entry> items_;
 };
 
 TEST(WaitQueueDifferentialTest, AgreesWithTheNaiveQueue) {
@@ -116,9 +117,9 @@
     naive_queue naive;
     for (request_id id = 1; id <= 60; ++id) {
       if (random() % 4 == 0) {
-        const request_id gone = 1 + random() % id;
-        queue.Remove(gone);
-        naive.Remove(gone);
+        const request_id removed = 1 + random() % id;
+        queue.Remove(removed);
+        naive.Remove(removed);
       }
       const waiting_request item =
           MakeWaiting(id, static_cast<priority_class>(random() % 3),
