--- a/benchmarks/limit_ways.cc
+++ b/benchmarks/limit_ways.cc
@@ -50,7 +50,7 @@
         static_cast<size_t>(item.killed * static_cast<double>(size)));
     std::iota(herd.begin(), herd.end(), 0);
     fleet.Kill(herd, 1);
-    fleet.Cut(static_cast<size_t>(item.cut * static_cast<double>(size)));
+    fleet.Partition(static_cast<size_t>(item.cut * static_cast<double>(size)));
   });
   fleet.Run(kSeconds,
             {.rate =
@@ -60,7 +60,7 @@
                  },
              .choose = [&](double,
                            std::mt19937_64& random) { return random() % size; },
-             .by_turns = true,
+             .uses_send_slots = true,
              .waits = item.waits});
   const double busy = item.is_wave ? kSeconds / 2 : kSeconds;
   const double allowed = AllowedByLimit(rate);
--- a/benchmarks/quota_ways.cc
+++ b/benchmarks/quota_ways.cc
@@ -41,7 +41,7 @@
         static_cast<size_t>(item.killed * static_cast<double>(size)));
     std::iota(herd.begin(), herd.end(), 0);
     fleet.Kill(herd, 1);
-    fleet.Cut(static_cast<size_t>(item.cut * static_cast<double>(size)));
+    fleet.Partition(static_cast<size_t>(item.cut * static_cast<double>(size)));
   });
   fleet.Run(25, {.rate = [&](double) { return item.load * kRate; },
                  .choose =
--- a/include/cuminswitch/Admission/quota_policy.h
+++ b/include/cuminswitch/Admission/quota_policy.h
@@ -71,7 +71,7 @@
   std::span<const endpoint> alive;
   /// Number of possibly active daemons of the deployment, unresponsive ones and
   /// this one included.
-  size_t known = 1;
+  size_t possibly_active = 1;
   /// Time within which all daemons have seen a change.
   duration convergence_time = std::chrono::seconds(3);
   /// Whether this daemon is shutting down, so that others don't take it for an
--- a/lib/Admission/even_quota_policy.cc
+++ b/lib/Admission/even_quota_policy.cc
@@ -12,7 +12,7 @@
 
 void even_quota_policy::SetFleet(time_point /*now*/,
                                  const quota_fleet_view& fleet) {
-  daemon_count_ = std::max(fleet.known, fleet.alive.size() + 1);
+  daemon_count_ = std::max(fleet.possibly_active, fleet.alive.size() + 1);
 }
 
 /// Returns a pseudo-random number from 0 to 1 that depends on the daemon's seed
--- a/lib/Admission/owner_quota_policy.cc
+++ b/lib/Admission/owner_quota_policy.cc
@@ -65,7 +65,7 @@
   RecordFailed(now, next);
   candidates_ = std::move(next);
   const size_t alive_count = candidates_.size() + (is_candidate ? 0 : 1);
-  daemon_count_ = std::max(fleet.known, alive_count);
+  daemon_count_ = std::max(fleet.possibly_active, alive_count);
   convergence_time_ = fleet.convergence_time;
   started_at_ = started_at_.value_or(now);
   alive_shares_.push_back({.from = now,
--- a/lib/Edge/edge_quotas.cc
+++ b/lib/Edge/edge_quotas.cc
@@ -31,7 +31,7 @@
     living.erase(std::unique(living.begin(), living.end()), living.end());
   }
   const quota_fleet_view fleet{.alive = living,
-                               .known = maybe_at_work_,
+                               .possibly_active = maybe_at_work_,
                                .convergence_time = notice_time_,
                                .is_leaving = stop_.HasBegun()};
   quotas_.policy().SetFleet(now, fleet);
--- a/unittests/Admission/limit_fleet_test.cc
+++ b/unittests/Admission/limit_fleet_test.cc
@@ -28,7 +28,7 @@
               [daemons](double, std::mt19937_64& random) {
                 return static_cast<size_t>(random() % daemons);
               },
-          .by_turns = true};
+          .uses_send_slots = true};
 }
 
 class limit_fleet : public testing::TestWithParam<std::tuple<size_t, double>> {
@@ -134,7 +134,7 @@
     quota_fleet fleet(Options());
     SetAdvertisedLimit(fleet);
     fleet.At(6, [&] {
-      fleet.Cut(static_cast<size_t>(part * static_cast<double>(size())));
+      fleet.Partition(static_cast<size_t>(part * static_cast<double>(size())));
     });
     fleet.At(22, [&] { fleet.Heal(); });
     fleet.Run(kRunSeconds, Steady(8));
@@ -186,7 +186,7 @@
       is_cut = true;
       fleet.At(at, [&fleet, count = static_cast<size_t>(
                                 draw(0, 0.45) * static_cast<double>(size))] {
-        fleet.Cut(count);
+        fleet.Partition(count);
       });
       fleet.At(at + draw(0.5, 10), [&fleet] { fleet.Heal(); });
     }
--- a/unittests/Admission/quota_fleet.cc
+++ b/unittests/Admission/quota_fleet.cc
@@ -79,7 +79,7 @@
   }
   item.policy->SetFleet(LocalTime(item),
                         {.alive = listed,
-                         .known = daemons_.size(),
+                         .possibly_active = daemons_.size(),
                          .convergence_time = ConvergenceTime()});
   At(now_ + Uniform(0.2, 1.2), [this, index] { UpdateFleetView(index); });
 }
@@ -105,7 +105,7 @@
     }
   }
   item.policy->SetFleet(LocalTime(item), {.alive = alive,
-                                          .known = daemons_.size(),
+                                          .possibly_active = daemons_.size(),
                                           .convergence_time = ConvergenceTime(),
                                           .is_leaving = item.is_leaving});
 }
@@ -133,7 +133,7 @@
   }
 }
 
-void quota_fleet::Cut(size_t count) {
+void quota_fleet::Partition(size_t count) {
   for (size_t i = 0; i < count; ++i) {
     daemons_[i].side = 1;
   }
@@ -175,7 +175,7 @@
 void quota_fleet::Submit(const sent_request& request) {
   daemon& item = daemons_[request.daemon];
   ++sent_;
-  if (request.by_turns && now_ < item.next_slot_at) {
+  if (request.uses_send_slots && now_ < item.next_slot_at) {
     item.waiting += request.waits && item.waiting < kMaxWaiting ? 1 : 0;
     --sent_;
     return;
@@ -262,7 +262,7 @@
     return;
   }
   const double wait = ToSeconds(decision.retry_after);
-  if (request.by_turns) {
+  if (request.uses_send_slots) {
     WaitForSendSlot(request, wait);
     return;
   }
@@ -282,27 +282,27 @@
 
 void quota_fleet::ScheduleArrivals(const load& callers, double until) {
   const double rate = std::max(1.0, callers.rate(now_));
-  if (callers.by_turns && callers.rate(now_) == 0) {
+  if (callers.uses_send_slots && callers.rate(now_) == 0) {
     At(now_ + kTickSeconds,
        [this, callers, until] { ScheduleArrivals(callers, until); });
     return;
   }
   const double gap = std::exponential_distribution<double>(
-      callers.by_turns ? callers.rate(now_)
-                       : rate / callers.mean_weight)(random_);
+      callers.uses_send_slots ? callers.rate(now_)
+                              : rate / callers.mean_weight)(random_);
   if (now_ + gap > until) {
     return;
   }
   At(now_ + gap, [this, callers, until] {
     const size_t daemon = callers.choose(now_, random_);
-    if (callers.by_turns) {
+    if (callers.uses_send_slots) {
       Submit({.daemon = daemon,
               .weight = 1,
               .digest = daemon + 1,
               .deadline =
                   now_ +
                   (callers.waits ? kReturnDivisor * kMaxSlotWaitSeconds : 0),
-              .by_turns = true,
+              .uses_send_slots = true,
               .waits = callers.waits});
       ScheduleArrivals(callers, until);
       return;
--- a/unittests/Admission/quota_fleet.h
+++ b/unittests/Admission/quota_fleet.h
@@ -45,7 +45,7 @@
     double mean_weight = 9'000;
     /// Whether daemons use send slots, as for an upstream's limit: each request
     /// weighs one unit, and a refused daemon asks for none until its next slot.
-    bool by_turns = false;
+    bool uses_send_slots = false;
     /// With send slots, whether requests that arrive before the slot wait for
     /// it instead of going to another upstream.
     bool waits = false;
@@ -57,7 +57,7 @@
   /// \p spread seconds.
   void SetLimit(double rate, double burst, double spread);
   /// Partitions the network: the first \p count daemons reach only each other.
-  void Cut(size_t count);
+  void Partition(size_t count);
   /// Ends the network partition.
   void Heal();
   /// Kills daemons; they restart without state \p down seconds later.
@@ -107,7 +107,7 @@
     uint64_t digest = 0;
     double deadline = 0;
     bool is_repeat = false;
-    bool by_turns = false;
+    bool uses_send_slots = false;
     bool waits = false;
   };
   struct admission {
--- a/unittests/Admission/quota_fleet_test.cc
+++ b/unittests/Admission/quota_fleet_test.cc
@@ -117,7 +117,7 @@
     fleet.SetLimit(kUnitsPerSecond, kUnitsPerSecond, 0);
     const auto cut =
         static_cast<size_t>(part * static_cast<double>(GetParam()));
-    fleet.At(6, [&fleet, cut] { fleet.Cut(cut); });
+    fleet.At(6, [&fleet, cut] { fleet.Partition(cut); });
     fleet.At(20, [&fleet] { fleet.Heal(); });
     fleet.Run(30, {.rate = Steady(8 * kUnitsPerSecond),
                    .choose = Anywhere(GetParam())});
@@ -214,7 +214,7 @@
       if (kind == 0) {
         fleet.Kill(some, 1);
       } else if (kind == 1) {
-        fleet.Cut(std::min(part, fleet.size() * 2 / 5));
+        fleet.Partition(std::min(part, fleet.size() * 2 / 5));
       } else {
         fleet.Heal();
       }
