--- a/unittests/Admission/limits_test.cc
+++ b/unittests/Admission/limits_test.cc
@@ -55,8 +55,8 @@
 }
 
 // Guards against callers that get 502 after a crash although the fleet has
-// retried far less than allowed. After 100 requests in 10 s five of them fail at
-// once; a token bucket as small as the daemon's share of the burst no longer
+// retried far less than allowed. After 100 requests in 10 s, five of them fail
+// at once; a token bucket as small as the daemon's share of the burst no longer
 // held the retries that those requests had earned.
 TEST(retry_budget_test, SpendsRetriesEarnedInTheWindowAtOnce) {
   retry_budget budget({.share = 0.1, .burst = 1});
