--- a/include/cuminswitch/Membership/member_table.h
+++ b/include/cuminswitch/Membership/member_table.h
@@ -1,6 +1,6 @@
 /// \file
-/// Which daemons live: random probing with piggybacked news, so that the cost
-/// per daemon does not grow with their number.
+/// SWIM-style group membership: randomized probing with piggybacked updates,
+/// so that the cost per daemon does not grow with the number of daemons.
 #ifndef CUMINSWITCH_MEMBERSHIP_MEMBER_TABLE_H_
 #define CUMINSWITCH_MEMBERSHIP_MEMBER_TABLE_H_
 
@@ -20,26 +20,29 @@
 
 namespace cuminswitch {
 
-/// Which members a question is about.
+/// Which members a query covers.
 enum class member_scope : uint8_t { kAll, kSameFailureDomain };
 
-/// One daemon's view of all daemons.
+/// The members known to this daemon and their status: its local view of the
+/// fleet.
 class member_table : public shard_directory {
  public:
   struct options {
     member self;
-    /// Peer addresses known from settings.
+    /// Peer addresses from the settings, probed until the peers are members.
     std::vector<endpoint> seeds;
     uint64_t random_seed = 0;
-    /// Time between two probes.
+    /// Interval between two probes.
     duration probe_period = std::chrono::milliseconds(250);
-    /// Time to wait for a probe's reply, directly and again through others.
+    /// How long to wait for the reply to a direct probe, and as long again for
+    /// the reply to the indirect probes that follow it.
     duration probe_timeout = std::chrono::milliseconds(400);
-    /// Time that a suspect has to refute.
+    /// Time that a suspect has to refute before it is declared dead.
     duration suspicion_timeout = std::chrono::milliseconds(1500);
-    /// How long a dead member is remembered, against late news of it.
-    duration forget_after = std::chrono::seconds(60);
-    /// Without any probe in this long, the daemon itself was paused.
+    /// How long the entry of a dead or leaving member is kept. A late update
+    /// about a removed member would add it again.
+    duration dead_member_retention = std::chrono::seconds(60);
+    /// A longer interval between two ticks means that this process was paused.
     duration pause_threshold = std::chrono::seconds(2);
   };
 
@@ -47,73 +50,83 @@
 
   /// Sends due probes and expires old ones.
   void OnTick(time_point now, action_list& out);
-  /// Takes a heartbeat in; replies to a probe.
+  /// Applies the updates of a heartbeat, and replies to it if it is a probe.
   void OnHeartbeat(time_point now, const heartbeat& message, action_list& out);
-  /// Probes the target that another member could not reach.
+  /// Probes a target on behalf of a member whose direct probe timed out.
   void OnProbeRequest(const probe_request& message, action_list& out);
-  /// Takes in that another member did reach a target of ours.
+  /// Applies the result of an indirect probe: another member has reached a
+  /// target that this daemon could not.
   void OnProbeReply(time_point now, const probe_reply& message);
-  /// Takes the platform's lagging list in. It adds addresses to probe and
-  /// marks who leaves; own evidence is never overruled by it.
+  /// Replaces the seed addresses from the platform's host list, which may lag.
+  /// Listed hosts that are neither members nor leaving are probed; the list
+  /// never changes the status of a member.
   void OnHostList(std::span<const listed_host> hosts);
 
-  /// Sets what heartbeats say besides membership.
+  /// Set the contents of outgoing heartbeats besides membership.
   void SetGeneration(generation_number generation) { generation_ = generation; }
   void SetUsage(std::vector<workspace_use> usage) { usage_ = std::move(usage); }
   void SetShards(std::vector<shard_number> shards);
-  /// Announces that this daemon leaves, to every member at once.
+  /// Announces to every member at once that this daemon is leaving.
   void Leave(action_list& out);
 
   const member& self() const { return self_; }
-  /// All members but the dead, this daemon included, ordered by host.
+  /// Returns all members that are not dead, including this daemon, ordered by
+  /// host.
   std::vector<member> ListMembers() const;
   const member* Find(std::string_view host) const;
-  /// Returns the serving member that says it owns \p shard.
+  /// Returns a member that is not dead and advertises ownership of \p shard, or
+  /// null.
   const member* FindOwner(shard_number shard) const override;
-  /// Whether this daemon is among the first \p ranks by rendezvous of \p key
-  /// over the serving members, or over those of its failure domain.
+  /// Whether this daemon is among the first \p ranks candidates for \p key by
+  /// rendezvous hashing. The candidates are the serving members of \p scope.
   bool IsAmongFirst(uint64_t key, size_t ranks, member_scope scope) const;
-  /// The number of serving members, this daemon included.
+  /// Returns the number of serving members, including this daemon.
   size_t CountServing() const override;
-  /// Whether any other daemon has ever been heard.
+  /// Whether the table holds any other daemon, whatever its status.
   bool HasPeers() const { return !others_.empty(); }
-  /// Grows with every change of the view.
+  /// Increases with every change of the table.
   uint64_t change_count() const { return change_count_; }
   time_point next_wake() const { return next_probe_; }
 
  private:
   struct entry {
     member info;
-    /// When its present status began.
-    time_point since;
+    /// When the entry got its present status, or when a pause of this process
+    /// ended, if that was later.
+    time_point status_since;
+    /// `Hash64` of the host, the candidate in rendezvous hashing.
     uint64_t host_hash = 0;
   };
+  /// A probe whose reply is pending.
   struct probe {
     std::string host;
     uint64_t sequence = 0;
     time_point deadline;
+    /// Whether the direct probe timed out and indirect ones were requested.
     bool indirect = false;
   };
-  /// A probe sent for another member.
-  struct relay {
+  /// A probe sent on behalf of another member; its reply is pending.
+  struct relayed_probe {
     uint64_t sequence = 0;
     endpoint reply_to;
-    uint64_t asked_sequence = 0;
+    /// The sequence number of the `probe_request`, echoed in the reply.
+    uint64_t requested_sequence = 0;
   };
-  struct news {
+  /// A host whose entry is piggybacked on the next `sends_left` heartbeats.
+  struct queued_update {
     std::string host;
     uint32_t sends_left = 0;
   };
 
-  void Learn(time_point now, const member& statement);
-  void RefuteIfNeeded(const member& statement);
-  void Spread(const std::string& host);
+  void ApplyUpdate(time_point now, const member& update);
+  void RefuteIfNeeded(const member& update);
+  void QueueUpdate(const std::string& host);
   void ExpireProbes(time_point now, action_list& out);
   void ExpireMembers(time_point now);
   void SendProbe(time_point now, action_list& out);
   void ProbeSeeds(action_list& out);
-  void AnswerRelay(const heartbeat& reply, action_list& out);
-  void AskOthersToProbe(probe& pending, action_list& out);
+  void SendProbeReply(const heartbeat& reply, action_list& out);
+  void RequestIndirectProbes(probe& pending, action_list& out);
   std::optional<std::string> PickProbeTarget();
   heartbeat MakeHeartbeat(uint64_t sequence, bool is_reply);
   void ChangeStatus(time_point now, entry& item, member_status status);
@@ -122,11 +135,13 @@
   member self_;
   std::mt19937_64 random_;
   std::map<std::string, entry, std::less<>> others_;
+  /// Probe targets of the current round in random order; the last is next.
   std::vector<std::string> probe_ring_;
   std::vector<probe> probes_;
-  std::vector<relay> relays_;
-  std::vector<news> news_;
-  std::vector<endpoint> extra_seeds_;
+  std::vector<relayed_probe> relayed_probes_;
+  std::vector<queued_update> update_queue_;
+  /// Peer addresses of listed hosts that are not members.
+  std::vector<endpoint> host_list_seeds_;
   std::vector<workspace_use> usage_;
   generation_number generation_ = 0;
   uint64_t next_sequence_ = 1;
--- a/lib/Membership/member_table.cc
+++ b/lib/Membership/member_table.cc
@@ -7,13 +7,15 @@
 
 namespace cuminswitch {
 
-static constexpr size_t kUpdatesPerHeartbeat = 6;
-static constexpr size_t kIndirectProbes = 2;
-/// One probe in so many goes to a seed or a dead member, so that the two
-/// sides of a healed cut find each other again.
+/// Member updates piggybacked on one heartbeat.
+static constexpr size_t kMaxUpdatesPerHeartbeat = 6;
+/// Members asked to probe a target after a direct probe timed out.
+static constexpr size_t kIndirectProbeCount = 2;
+/// Every this many probes, one is also sent to a seed or a dead member, so
+/// that the two sides of a healed network partition find each other again.
 static constexpr uint64_t kSeedProbeInterval = 8;
-/// Probes for others whose replies are still awaited; the oldest is dropped.
-static constexpr size_t kMaxRelays = 64;
+/// Bound on the relayed probes with pending replies; the oldest is dropped.
+static constexpr size_t kMaxRelayedProbes = 64;
 
 member_table::member_table(const options& opts)
     : options_(opts), self_(opts.self), random_(opts.random_seed) {}
@@ -25,14 +27,14 @@
   self_.shards = std::move(shards);
   ++self_.version;
   ++change_count_;
-  Spread(self_.host);
+  QueueUpdate(self_.host);
 }
 
 void member_table::Leave(action_list& out) {
   self_.status = member_status::kLeaving;
   ++self_.version;
   ++change_count_;
-  Spread(self_.host);
+  QueueUpdate(self_.host);
   for (const auto& [host, item] : others_) {
     if (item.info.status != member_status::kDead) {
       out.push_back(
@@ -42,57 +44,59 @@
   }
 }
 
-void member_table::Spread(const std::string& host) {
-  const auto same = [&](const news& item) { return item.host == host; };
-  std::erase_if(news_, same);
-  // Enough sends that news reaches everybody with high probability while the
-  // cost stays logarithmic in the number of members.
+void member_table::QueueUpdate(const std::string& host) {
+  const auto is_same_host = [&](const queued_update& item) {
+    return item.host == host;
+  };
+  std::erase_if(update_queue_, is_same_host);
+  // Enough sends for an update to reach every member with high probability,
+  // while the cost stays logarithmic in the number of members.
   const uint32_t sends = 3 * std::bit_width(others_.size() + 1);
-  news_.push_back({.host = host, .sends_left = sends});
+  update_queue_.push_back({.host = host, .sends_left = sends});
 }
 
 void member_table::ChangeStatus(time_point now,
                                 entry& item,
                                 member_status status) {
   item.info.status = status;
-  item.since = now;
+  item.status_since = now;
   ++change_count_;
-  Spread(item.info.host);
+  QueueUpdate(item.info.host);
 }
 
-void member_table::RefuteIfNeeded(const member& statement) {
-  const bool about_me = statement.incarnation == self_.incarnation;
-  if (!about_me || statement.version < self_.version ||
-      statement.status == self_.status) {
+void member_table::RefuteIfNeeded(const member& update) {
+  const bool is_about_self = update.incarnation == self_.incarnation;
+  if (!is_about_self || update.version < self_.version ||
+      update.status == self_.status) {
     return;
   }
-  // Others believe that this daemon is suspect or dead. Unrefuted, it would
-  // drop out of the address answers while it serves.
-  self_.version = statement.version + 1;
-  Spread(self_.host);
+  // Other members consider this daemon suspect or dead. Unless it refutes
+  // this, it is left out of address responses while it is serving.
+  self_.version = update.version + 1;
+  QueueUpdate(self_.host);
 }
 
-void member_table::Learn(time_point now, const member& statement) {
-  if (statement.host == self_.host) {
-    RefuteIfNeeded(statement);
+void member_table::ApplyUpdate(time_point now, const member& update) {
+  if (update.host == self_.host) {
+    RefuteIfNeeded(update);
     return;
   }
-  const auto found = others_.find(statement.host);
+  const auto found = others_.find(update.host);
   if (found == others_.end()) {
-    if (statement.status == member_status::kDead) {
+    if (update.status == member_status::kDead) {
       return;
     }
-    others_[statement.host] = {
-        .info = statement, .since = now, .host_hash = Hash64(statement.host)};
+    others_[update.host] = {
+        .info = update, .status_since = now, .host_hash = Hash64(update.host)};
     ++change_count_;
-    Spread(statement.host);
+    QueueUpdate(update.host);
     return;
   }
-  if (!statement.Supersedes(found->second.info)) {
+  if (!update.Supersedes(found->second.info)) {
     return;
   }
-  found->second.info = statement;
-  ChangeStatus(now, found->second, statement.status);
+  found->second.info = update;
+  ChangeStatus(now, found->second, update.status);
 }
 
 heartbeat member_table::MakeHeartbeat(uint64_t sequence, bool is_reply) {
@@ -103,10 +107,10 @@
                     .generation = generation_,
                     .usage = usage_};
   std::stable_sort(
-      news_.begin(), news_.end(),
+      update_queue_.begin(), update_queue_.end(),
       [](const auto& a, const auto& b) { return a.sends_left > b.sends_left; });
-  for (news& item : news_) {
-    if (message.updates.size() == kUpdatesPerHeartbeat) {
+  for (queued_update& item : update_queue_) {
+    if (message.updates.size() == kMaxUpdatesPerHeartbeat) {
       break;
     }
     --item.sends_left;
@@ -114,7 +118,8 @@
       message.updates.push_back(found->second.info);
     }
   }
-  std::erase_if(news_, [](const news& item) { return item.sends_left == 0; });
+  std::erase_if(update_queue_,
+                [](const queued_update& item) { return item.sends_left == 0; });
   return message;
 }
 
@@ -122,25 +127,25 @@
                                const heartbeat& message,
                                action_list& out) {
   const member* known = Find(message.sender.host);
-  const bool doubted = known != nullptr &&
-                       known->incarnation == message.sender.incarnation &&
-                       (known->status == member_status::kSuspect ||
-                        known->status == member_status::kDead) &&
-                       known->version >= message.sender.version;
-  Learn(now, message.sender);
-  for (const member& statement : message.updates) {
-    Learn(now, statement);
+  const bool is_suspected = known != nullptr &&
+                            known->incarnation == message.sender.incarnation &&
+                            (known->status == member_status::kSuspect ||
+                             known->status == member_status::kDead) &&
+                            known->version >= message.sender.version;
+  ApplyUpdate(now, message.sender);
+  for (const member& update : message.updates) {
+    ApplyUpdate(now, update);
   }
   std::erase_if(probes_, [&](const probe& item) {
     return item.host == message.sender.host;
   });
   if (message.is_reply) {
-    AnswerRelay(message, out);
+    SendProbeReply(message, out);
     return;
   }
   heartbeat reply = MakeHeartbeat(message.sequence, true);
-  if (doubted) {
-    // The sender cannot refute what it has not been told.
+  if (is_suspected) {
+    // The sender can only refute a suspicion that it has received.
     reply.updates.push_back(others_.find(message.sender.host)->second.info);
   }
   out.push_back(send_peer{.to = message.sender.peer_address,
@@ -150,61 +155,62 @@
 void member_table::OnProbeRequest(const probe_request& message,
                                   action_list& out) {
   const uint64_t sequence = next_sequence_++;
-  relays_.push_back({.sequence = sequence,
-                     .reply_to = message.reply_to,
-                     .asked_sequence = message.sequence});
-  if (relays_.size() > kMaxRelays) {
-    relays_.erase(relays_.begin());
+  relayed_probes_.push_back({.sequence = sequence,
+                             .reply_to = message.reply_to,
+                             .requested_sequence = message.sequence});
+  if (relayed_probes_.size() > kMaxRelayedProbes) {
+    relayed_probes_.erase(relayed_probes_.begin());
   }
   out.push_back(send_peer{.to = message.target,
                           .message = MakeHeartbeat(sequence, false)});
 }
 
 void member_table::OnProbeReply(time_point now, const probe_reply& message) {
-  Learn(now, message.target);
+  ApplyUpdate(now, message.target);
   std::erase_if(probes_, [&](const probe& item) {
     return item.host == message.target.host;
   });
 }
 
-void member_table::AnswerRelay(const heartbeat& reply, action_list& out) {
-  const auto asked = [&](const relay& item) {
+void member_table::SendProbeReply(const heartbeat& reply, action_list& out) {
+  const auto is_requested = [&](const relayed_probe& item) {
     return item.sequence == reply.sequence;
   };
-  const auto found = std::find_if(relays_.begin(), relays_.end(), asked);
-  if (found == relays_.end()) {
+  const auto found = std::find_if(relayed_probes_.begin(),
+                                  relayed_probes_.end(), is_requested);
+  if (found == relayed_probes_.end()) {
     return;
   }
   out.push_back(
       send_peer{.to = found->reply_to,
-                .message = probe_reply{.sequence = found->asked_sequence,
+                .message = probe_reply{.sequence = found->requested_sequence,
                                        .target = reply.sender}});
-  relays_.erase(found);
+  relayed_probes_.erase(found);
 }
 
 void member_table::OnHostList(std::span<const listed_host> hosts) {
-  extra_seeds_.clear();
+  host_list_seeds_.clear();
   for (const listed_host& listed : hosts) {
     if (listed.host != self_.host && Find(listed.host) == nullptr &&
         !listed.leaving) {
-      extra_seeds_.push_back(listed.peer_address);
+      host_list_seeds_.push_back(listed.peer_address);
     }
   }
 }
 
-void member_table::AskOthersToProbe(probe& pending, action_list& out) {
+void member_table::RequestIndirectProbes(probe& pending, action_list& out) {
   const entry& target = others_.find(pending.host)->second;
-  std::vector<const entry*> helpers;
+  std::vector<const entry*> proxies;
   for (const auto& [host, item] : others_) {
     if (host != pending.host && item.info.status == member_status::kAlive) {
-      helpers.push_back(&item);
+      proxies.push_back(&item);
     }
   }
-  std::shuffle(helpers.begin(), helpers.end(), random_);
-  helpers.resize(std::min(helpers.size(), kIndirectProbes));
-  for (const entry* helper : helpers) {
+  std::shuffle(proxies.begin(), proxies.end(), random_);
+  proxies.resize(std::min(proxies.size(), kIndirectProbeCount));
+  for (const entry* proxy : proxies) {
     out.push_back(send_peer{
-        .to = helper->info.peer_address,
+        .to = proxy->info.peer_address,
         .message = probe_request{.sequence = pending.sequence,
                                  .reply_to = self_.peer_address,
                                  .target = target.info.peer_address}});
@@ -223,7 +229,7 @@
       continue;
     }
     if (!item.indirect) {
-      AskOthersToProbe(item, out);
+      RequestIndirectProbes(item, out);
       item.indirect = true;
       item.deadline = now + options_.probe_timeout;
       still_pending.push_back(item);
@@ -239,7 +245,7 @@
 void member_table::ExpireMembers(time_point now) {
   for (auto& [host, item] : others_) {
     if (item.info.status == member_status::kSuspect &&
-        now - item.since >= options_.suspicion_timeout) {
+        now - item.status_since >= options_.suspicion_timeout) {
       ChangeStatus(now, item, member_status::kDead);
     }
   }
@@ -247,7 +253,7 @@
     const entry& item = pair.second;
     return (item.info.status == member_status::kDead ||
             item.info.status == member_status::kLeaving) &&
-           now - item.since >= options_.forget_after;
+           now - item.status_since >= options_.dead_member_retention;
   });
 }
 
@@ -274,7 +280,7 @@
 }
 
 void member_table::ProbeSeeds(action_list& out) {
-  std::vector<endpoint> targets = extra_seeds_;
+  std::vector<endpoint> targets = host_list_seeds_;
   targets.insert(targets.end(), options_.seeds.begin(), options_.seeds.end());
   std::erase(targets, self_.peer_address);
   for (const auto& [host, item] : others_) {
@@ -313,11 +319,12 @@
 
 void member_table::OnTick(time_point now, action_list& out) {
   if (now - last_tick_ > options_.pause_threshold) {
-    // This daemon was frozen: unanswered probes say nothing about others.
-    // Counting them would make a thawed daemon declare everybody dead.
+    // This process was paused, so pending probes say nothing about their
+    // targets. Expiring them would make a resumed daemon declare every member
+    // dead.
     probes_.clear();
     for (auto& [host, item] : others_) {
-      item.since = now;
+      item.status_since = now;
     }
   }
   last_tick_ = now;
@@ -365,25 +372,26 @@
 bool member_table::IsAmongFirst(uint64_t key,
                                 size_t ranks,
                                 member_scope scope) const {
-  const uint64_t mine = RendezvousWeight(key, Hash64(self_.host));
-  size_t ahead = 0;
+  const uint64_t self_weight = RendezvousWeight(key, Hash64(self_.host));
+  size_t higher_ranked = 0;
   for (const auto& [host, item] : others_) {
-    const bool counts = item.info.IsServing() &&
-                        (scope == member_scope::kAll ||
-                         item.info.failure_domain == self_.failure_domain);
-    if (counts && RendezvousWeight(key, item.host_hash) > mine) {
-      ++ahead;
+    const bool is_candidate =
+        item.info.IsServing() &&
+        (scope == member_scope::kAll ||
+         item.info.failure_domain == self_.failure_domain);
+    if (is_candidate && RendezvousWeight(key, item.host_hash) > self_weight) {
+      ++higher_ranked;
     }
   }
-  return ahead < ranks;
+  return higher_ranked < ranks;
 }
 
 size_t member_table::CountServing() const {
-  const auto serves = [](const auto& pair) {
+  const auto is_serving = [](const auto& pair) {
     return pair.second.info.IsServing();
   };
   return 1 + static_cast<size_t>(
-                 std::count_if(others_.begin(), others_.end(), serves));
+                 std::count_if(others_.begin(), others_.end(), is_serving));
 }
 
 }  // namespace cuminswitch
