--- a/include/cuminswitch/Log/event_log.h
+++ b/include/cuminswitch/Log/event_log.h
@@ -1,5 +1,5 @@
 /// \file
-/// Structured log lines on a descriptor that may stop to take them.
+/// Structured log lines, written to a descriptor that may stop accepting them.
 #ifndef CUMINSWITCH_LOG_EVENT_LOG_H_
 #define CUMINSWITCH_LOG_EVENT_LOG_H_
 
@@ -13,17 +13,19 @@
 
 namespace cuminswitch {
 
-/// What a line is about; each class has a budget of its own.
+/// What a line is about, ordered by importance: when pending lines exceed their
+/// bound, the oldest line of the lowest class is dropped first.
 enum class log_class : uint8_t {
-  /// A decision that touches one request. Dropped first.
+  /// A decision about one request. Also bounded by a number of lines a second.
   kRequest,
-  /// A change of what the process believes.
+  /// A change of the process's view of peers, upstreams or configuration.
   kBelief,
-  /// Start, stop, reload, a dependency lost or regained, an error.
+  /// Start, stop, reload, an error, or a dependency lost or regained.
   kLifecycle,
 };
 
-/// One line under construction: `event`, then fields in the order of adding.
+/// Builds one line, a JSON object: the time, `event`, then the fields in the
+/// order in which they are added.
 class log_line {
  public:
   explicit log_line(std::string_view event);
@@ -43,11 +45,12 @@
     return Add(name, int64_t{value});
   }
   log_line& Add(std::string_view name, bool value);
-  /// Adds up to three significant digits.
+  /// Adds \p value rounded to three significant digits.
   log_line& Add(std::string_view name, double value);
-  /// Adds milliseconds.
+  /// Adds \p value in whole milliseconds, truncated.
   log_line& Add(std::string_view name, std::chrono::microseconds value);
 
+  /// The line so far, without the closing brace.
   const std::string& text() const { return text_; }
 
  private:
@@ -56,27 +59,28 @@
   std::string text_;
 };
 
-/// Keeps lines until the descriptor takes them and never waits for it. A reader
-/// that stops reading costs lines, not requests; what was dropped is counted
-/// and told in a line of its own.
+/// Buffers lines until the descriptor accepts them, and never blocks on it.
+/// When its reader stops reading, lines are dropped and requests are not
+/// delayed. Dropped lines are counted and reported in a line of their own.
 class event_log {
  public:
   struct options {
     int descriptor = 1;
-    /// Bytes kept for a reader that is behind. Hosts have little memory.
+    /// Bytes buffered for a slow reader; bounded since hosts have little
+    /// memory.
     size_t max_pending = 256UL << 10;
-    /// Lines about requests in one second; about twice what a host of the
-    /// largest deployment serves.
+    /// Lines of class `kRequest` per second; about twice the requests per
+    /// second that a host of the largest deployment serves.
     uint32_t max_request_lines = 400;
   };
 
   explicit event_log(const options& opts) : options_(opts) {}
 
   void Write(log_class kind, const log_line& line);
-  /// Hands on what the descriptor takes now.
+  /// Writes as much as the descriptor accepts without blocking.
   void Flush();
   bool HasPending() const { return pending_size_ > 0; }
-  uint64_t dropped_count() const { return dropped_total_; }
+  uint64_t dropped_count() const { return total_drops_; }
   uint64_t written_count() const { return written_; }
 
  private:
@@ -85,22 +89,28 @@
     std::string text;
   };
 
-  bool TakeBudget();
+  /// Counts one line of class `kRequest`. Returns whether it is within the
+  /// budget of the current second.
+  bool TryTakeBudget();
   void Push(log_class kind, std::string text);
-  /// Makes room by dropping the oldest line of the least important class.
+  /// Drops lines, the oldest of the least important class first, until \p size
+  /// more bytes fit. Returns false if only lines more important than \p kind
+  /// are left to drop.
   bool MakeRoom(size_t size, log_class kind);
   void ReportDropped();
 
   options options_;
   std::deque<entry> lines_;
   size_t pending_size_ = 0;
-  /// Of the first line, already taken by the descriptor.
-  size_t front_written_ = 0;
-  uint64_t dropped_ = 0;
-  uint64_t dropped_total_ = 0;
+  /// Bytes of the first line that are already written to the descriptor.
+  size_t front_offset_ = 0;
+  /// Dropped lines not yet reported in a `log_lines_dropped` line.
+  uint64_t unreported_drops_ = 0;
+  uint64_t total_drops_ = 0;
   uint64_t written_ = 0;
-  uint32_t request_lines_ = 0;
-  std::chrono::steady_clock::time_point second_began_;
+  /// Lines of class `kRequest` since `budget_window_start_`.
+  uint32_t window_request_lines_ = 0;
+  std::chrono::steady_clock::time_point budget_window_start_;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Log/list_changes.h
+++ b/include/cuminswitch/Log/list_changes.h
@@ -1,5 +1,5 @@
 /// \file
-/// Tells a log what changed in a list, and not the list.
+/// Logs the changes of a list instead of the whole list.
 #ifndef CUMINSWITCH_LOG_LIST_CHANGES_H_
 #define CUMINSWITCH_LOG_LIST_CHANGES_H_
 
@@ -14,34 +14,36 @@
 
 class log_line;
 
-/// Collects changes of a list between two lines of a log.
+/// Collects the changes of a list between two log lines.
 ///
-/// A line that holds the whole list at each of its changes grows with the
-/// square of the fleet. Here lines are bounded in size and in number, so that
-/// what a daemon writes stays flat as the fleet grows.
+/// If every change logged the whole list, the volume of the log would grow with
+/// the square of the fleet's size. Here lines are bounded in size and in rate,
+/// so that the volume per daemon does not grow with the fleet.
 class list_changes {
  public:
-  /// Least time between two lines. Starts and stops come in waves, of which one
-  /// line tells as much as a hundred.
+  /// Minimum time between two lines. Hosts start and stop in bursts, and one
+  /// line for a burst is as useful as a hundred.
   static constexpr std::chrono::seconds kInterval{1};
-  /// Items named in a line, of those that came and of those that went each; all
-  /// of them are counted.
-  static constexpr size_t kMaxNamed = 16;
+  /// Maximum number of items listed in a line, of the added and of the removed
+  /// ones each. The counts in the line include the others.
+  static constexpr size_t kMaxListed = 16;
 
-  /// \p item is in the list from now on.
+  /// Records that \p item was added to the list.
   void Add(std::string item);
-  /// \p item is in the list no longer.
+  /// Records that \p item was removed from the list.
   void Remove(std::string item);
-  /// Adds what changed since the last line to \p line. Returns whether a line
-  /// is due: something changed, and the last one is long enough ago.
+  /// Moves the changes since the last line into \p line and returns true.
+  /// Returns false and leaves \p line as it is when nothing changed or the last
+  /// line is less than `kInterval` ago.
   bool TakeInto(time_point now, log_line& line);
 
  private:
+  /// Items in the list now.
   size_t count_ = 0;
-  /// Since the last line; nothing is in both.
+  /// Changes since the last line. No item is in both sets.
   std::set<std::string> added_;
   std::set<std::string> removed_;
-  time_point told_at_{};
+  time_point last_line_at_{};
 };
 
 }  // namespace cuminswitch
--- a/lib/Log/event_log.cc
+++ b/lib/Log/event_log.cc
@@ -11,8 +11,9 @@
 
 namespace cuminswitch {
 
-/// A pipe that polls as writable takes this much without blocking (PIPE_BUF).
-static constexpr size_t kSafeWrite = 4096;
+/// Bytes that a pipe accepts without blocking when it polls as writable
+/// (PIPE_BUF on Linux).
+static constexpr size_t kMaxAtomicWrite = 4096;
 
 static int64_t UnixMillis() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -20,7 +21,7 @@
       .count();
 }
 
-/// A text as JSON, with invalid UTF-8 replaced.
+/// Returns \p text as a JSON string, with invalid UTF-8 replaced.
 static std::string Quote(std::string_view text) {
   return nlohmann::json(text).dump(-1, ' ', false,
                                    nlohmann::json::error_handler_t::replace);
@@ -72,19 +73,19 @@
   return Add(name, int64_t{value.count() / kMicrosPerMilli});
 }
 
-bool event_log::TakeBudget() {
+bool event_log::TryTakeBudget() {
   const auto now = std::chrono::steady_clock::now();
-  if (now - second_began_ >= std::chrono::seconds(1)) {
-    second_began_ = now;
-    request_lines_ = 0;
+  if (now - budget_window_start_ >= std::chrono::seconds(1)) {
+    budget_window_start_ = now;
+    window_request_lines_ = 0;
   }
-  return ++request_lines_ <= options_.max_request_lines;
+  return ++window_request_lines_ <= options_.max_request_lines;
 }
 
 bool event_log::MakeRoom(size_t size, log_class kind) {
   while (pending_size_ + size > options_.max_pending) {
-    // The first line may be half written; it stays.
-    const auto begin = lines_.begin() + (front_written_ > 0 ? 1 : 0);
+    // The first line must stay if part of it is already written.
+    const auto begin = lines_.begin() + (front_offset_ > 0 ? 1 : 0);
     const auto victim = std::min_element(
         begin, lines_.end(),
         [](const auto& a, const auto& b) { return a.kind < b.kind; });
@@ -93,8 +94,8 @@
     }
     pending_size_ -= victim->text.size();
     lines_.erase(victim);
-    ++dropped_;
-    ++dropped_total_;
+    ++unreported_drops_;
+    ++total_drops_;
   }
   return true;
 }
@@ -105,25 +106,25 @@
 }
 
 void event_log::ReportDropped() {
-  if (dropped_ == 0) {
+  if (unreported_drops_ == 0) {
     return;
   }
   log_line line("log_lines_dropped");
-  line.Add("count", std::exchange(dropped_, 0));
+  line.Add("count", std::exchange(unreported_drops_, 0));
   Push(log_class::kLifecycle, line.text() + "}\n");
 }
 
 void event_log::Write(log_class kind, const log_line& line) {
   std::string text = line.text() + "}\n";
-  const bool has_budget = kind != log_class::kRequest || TakeBudget();
+  const bool has_budget = kind != log_class::kRequest || TryTakeBudget();
   if (!has_budget || !MakeRoom(text.size(), kind)) {
-    ++dropped_;
-    ++dropped_total_;
+    ++unreported_drops_;
+    ++total_drops_;
     return;
   }
   ReportDropped();
   Push(kind, std::move(text));
-  if (pending_size_ >= kSafeWrite) {
+  if (pending_size_ >= kMaxAtomicWrite) {
     Flush();
   }
 }
@@ -135,23 +136,24 @@
       return;
     }
     std::string batch;
-    while (!lines_.empty() && batch.size() < kSafeWrite) {
+    while (!lines_.empty() && batch.size() < kMaxAtomicWrite) {
       const std::string& text = lines_.front().text;
       const std::string_view rest =
-          std::string_view(text).substr(front_written_);
-      const size_t part = std::min(rest.size(), kSafeWrite - batch.size());
+          std::string_view(text).substr(front_offset_);
+      const size_t part = std::min(rest.size(), kMaxAtomicWrite - batch.size());
       batch.append(rest.substr(0, part));
-      front_written_ += part;
-      if (front_written_ == text.size()) {
+      front_offset_ += part;
+      if (front_offset_ == text.size()) {
         pending_size_ -= text.size();
         lines_.pop_front();
-        front_written_ = 0;
+        front_offset_ = 0;
         ++written_;
       }
     }
     if (write(options_.descriptor, batch.data(), batch.size()) < 0) {
-      // Nobody can be told; the lines are lost, and counted.
-      ++dropped_total_;
+      // The descriptor is broken, so that this cannot be reported in the log.
+      // The batch is lost; it counts as one dropped line.
+      ++total_drops_;
       return;
     }
   }
--- a/lib/Log/list_changes.cc
+++ b/lib/Log/list_changes.cc
@@ -11,7 +11,7 @@
   std::string text;
   size_t count = 0;
   for (const std::string& item : items) {
-    if (++count > list_changes::kMaxNamed) {
+    if (++count > list_changes::kMaxListed) {
       break;
     }
     text += (text.empty() ? "" : " ") + item;
@@ -43,7 +43,8 @@
 }
 
 bool list_changes::TakeInto(time_point now, log_line& line) {
-  const bool is_due = told_at_ == time_point() || now - told_at_ >= kInterval;
+  const bool is_due =
+      last_line_at_ == time_point() || now - last_line_at_ >= kInterval;
   if (!is_due || (added_.empty() && removed_.empty())) {
     return false;
   }
@@ -52,7 +53,7 @@
   AddChanges("removed", removed_, line);
   added_.clear();
   removed_.clear();
-  told_at_ = now;
+  last_line_at_ = now;
   return true;
 }
 
--- a/unittests/Log/event_log_test.cc
+++ b/unittests/Log/event_log_test.cc
@@ -1,4 +1,4 @@
-// Lines on a reader that reads, and on one that does not.
+// The event log with a reader that keeps up and with one that stops reading.
 #include "cuminswitch/Log/event_log.h"
 
 #include <fcntl.h>
@@ -36,7 +36,7 @@
   std::array<int, 2> ends_{};
 };
 
-TEST_F(event_log_test, ALineIsJson) {
+TEST_F(event_log_test, WritesALineAsJson) {
   event_log log({.descriptor = ends_[1]});
   log.Write(log_class::kRequest,
             log_line("request_ended")
@@ -52,10 +52,10 @@
   EXPECT_EQ(line.at("kept"), true);
 }
 
-// Symptom: requests stand still because nobody reads the log.
+// Symptom: requests stall because nobody reads the log.
 // Sequence: the reader of standard output stops; the pipe fills up.
-// Cause: a write that waits for the reader.
-TEST_F(event_log_test, AFullPipeDelaysNothingAndLosesRoutineLinesFirst) {
+// Cause: a write blocks until the reader reads.
+TEST_F(event_log_test, DropsRequestLinesFirstWhenThePipeIsFull) {
   event_log log({.descriptor = ends_[1],
                  .max_pending = 20'000,
                  .max_request_lines = 1'000'000});
@@ -75,23 +75,23 @@
   text += ReadAll();
   std::istringstream lines(text);
   int kept = 0;
-  bool told = false;
+  bool reported = false;
   for (std::string line; std::getline(lines, line);) {
     const auto event = nlohmann::json::parse(line).at("event");
     kept += event == "kept" ? 1 : 0;
-    told = told || event == "log_lines_dropped";
+    reported = reported || event == "log_lines_dropped";
   }
-  EXPECT_EQ(kept, 100) << "a change of state gave way to routine lines";
-  EXPECT_TRUE(told);
+  EXPECT_EQ(kept, 100) << "lifecycle lines were dropped for request lines";
+  EXPECT_TRUE(reported);
 }
 
-TEST_F(event_log_test, LinesAboutRequestsHaveABudget) {
+TEST_F(event_log_test, BoundsRequestLinesPerSecond) {
   event_log log({.descriptor = ends_[1], .max_request_lines = 10});
   for (int i = 0; i < 30; ++i) {
     log.Write(log_class::kRequest, log_line("routine"));
-    log.Write(log_class::kBelief, log_line("belief"));
+    log.Write(log_class::kBelief, log_line("state_change"));
   }
-  // A second may have begun in between.
+  // A new second, with a new budget, may have begun in between.
   EXPECT_GE(log.dropped_count(), 10U);
   EXPECT_LE(log.dropped_count(), 20U);
 }
--- a/unittests/Log/list_changes_test.cc
+++ b/unittests/Log/list_changes_test.cc
@@ -1,4 +1,4 @@
-// How much a daemon writes about lists that grow with the fleet.
+// The volume that a daemon logs about lists that grow with the fleet.
 #include "cuminswitch/Log/list_changes.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
   return items;
 }
 
-/// Makes the list \p after of \p before.
+/// Replaces the list \p before by \p after.
 void Replace(list_changes& changes,
              const std::vector<std::string>& before,
              const std::vector<std::string>& after) {
@@ -34,8 +34,8 @@
   }
 }
 
-/// Bytes written while each of \p size items goes and comes back within a
-/// minute, in turn.
+/// Returns the bytes logged in one minute, in which each of \p size items in
+/// turn is removed and added again.
 size_t BytesInAMinute(size_t size) {
   list_changes changes;
   const std::vector<std::string> all = MakeFleet(size);
@@ -58,27 +58,27 @@
   return bytes;
 }
 
-// Symptom: two hosts of 95 wrote 2 MB in 38 s, 1.4 MB of it one kind of line.
-// Sequence: each host starts, stops or restarts once. Cause: each change of the
-// list of peers wrote the whole list.
-TEST(list_changes_test, WhatIsWrittenStaysFlatAsTheFleetGrows) {
+// Symptom: two hosts of 95 logged 2 MB in 38 s, 1.4 MB of it one kind of line.
+// Sequence: each host starts, stops or restarts once.
+// Cause: every change of the list of peers logged the whole list.
+TEST(list_changes_test, BoundsLogVolumeAsTheFleetGrows) {
   const size_t small = BytesInAMinute(10);
   const size_t middle = BytesInAMinute(100);
   const size_t large = BytesInAMinute(300);
-  // A line a second, with the names that may stand in it.
+  // One line a second, with the maximum number of items in it.
   constexpr size_t kLines = 60;
-  constexpr size_t kNames = 2 * list_changes::kMaxNamed;
-  constexpr size_t kNameSize = sizeof("host-299/10.0.0.9:8000/ready");
-  constexpr size_t kFrameSize = 200;
-  const size_t bound = kLines * (kNames * kNameSize + kFrameSize);
+  constexpr size_t kItems = 2 * list_changes::kMaxListed;
+  constexpr size_t kItemSize = sizeof("host-299/10.0.0.9:8000/ready");
+  constexpr size_t kOverhead = 200;
+  const size_t bound = kLines * (kItems * kItemSize + kOverhead);
   EXPECT_GT(small, 0U);
   EXPECT_LE(middle, bound);
   EXPECT_LE(large, bound);
-  // From 100 on it is the lines' number and size that bound it.
+  // From 100 items on, the number and the size of the lines are the bound.
   EXPECT_LE(large, 2 * middle);
 }
 
-TEST(list_changes_test, ALineTellsWhatCameAndWhatWent) {
+TEST(list_changes_test, ReportsAddedAndRemovedItems) {
   list_changes changes;
   Replace(changes, {}, {"b", "a"});
   log_line first("x");
@@ -94,7 +94,7 @@
   EXPECT_EQ(line.at("removed_items"), "b");
 }
 
-TEST(list_changes_test, WhatCameAndWentBetweenTwoLinesIsNotTold) {
+TEST(list_changes_test, OmitsItemsAddedAndRemovedBetweenTwoLines) {
   list_changes changes;
   Replace(changes, {}, {"a"});
   log_line first("x");
@@ -105,16 +105,16 @@
   EXPECT_FALSE(changes.TakeInto(kStart + list_changes::kInterval, next));
 }
 
-TEST(list_changes_test, AWaveIsCountedWholeAndNamedInPart) {
+TEST(list_changes_test, CountsAllChangesButListsABoundedNumber) {
   list_changes changes;
   Replace(changes, {}, MakeFleet(300));
   log_line line("x");
   ASSERT_TRUE(changes.TakeInto(kStart, line));
-  const auto told = nlohmann::json::parse(line.text() + "}");
-  EXPECT_EQ(told.at("added"), 300);
-  const auto names = told.at("added_items").get<std::string>();
+  const auto fields = nlohmann::json::parse(line.text() + "}");
+  EXPECT_EQ(fields.at("added"), 300);
+  const auto names = fields.at("added_items").get<std::string>();
   EXPECT_EQ(std::count(names.begin(), names.end(), ' '),
-            list_changes::kMaxNamed - 1);
+            list_changes::kMaxListed - 1);
 }
 
 }  // namespace
