--- a/include/cuminswitch/Kernel/event_thread.h
+++ b/include/cuminswitch/Kernel/event_thread.h
@@ -1,5 +1,5 @@
 /// \file
-/// One thread with one libevent loop.
+/// A thread that runs a libevent loop.
 #ifndef CUMINSWITCH_KERNEL_EVENT_THREAD_H_
 #define CUMINSWITCH_KERNEL_EVENT_THREAD_H_
 
@@ -12,15 +12,15 @@
 
 namespace cuminswitch {
 
-/// Runs a loop in a thread of its own, and can be woken from any thread.
+/// Runs an event loop in a thread of its own. Any thread can wake it.
 class event_thread {
  public:
   struct options {
-    /// Runs in the thread before its loop; what it throws, `Start` throws.
+    /// Runs in the thread before its loop; `Start` rethrows its exceptions.
     std::function<void()> on_start;
     /// Runs in the thread each time it is woken.
     std::function<void()> on_wake;
-    /// Runs in the thread after its loop, while the base still lives.
+    /// Runs in the thread after its loop, before the event base is freed.
     std::function<void()> on_stop;
   };
 
@@ -31,7 +31,7 @@
 
   void Start();
   void Stop();
-  /// Makes `on_wake` run soon. Any thread may call it.
+  /// Schedules a run of `on_wake`. Any thread may call it.
   void Wake();
   event_base* base() const { return base_; }
 
--- a/include/cuminswitch/Kernel/kernel.h
+++ b/include/cuminswitch/Kernel/kernel.h
@@ -1,6 +1,6 @@
 /// \file
 /// The micro-kernel: a registry of services by name, and the order in which
-/// they start and stop. Nothing else.
+/// they start and stop.
 #ifndef CUMINSWITCH_KERNEL_KERNEL_H_
 #define CUMINSWITCH_KERNEL_KERNEL_H_
 
@@ -28,19 +28,20 @@
   /// Returns the service; throws `std::out_of_range` for an unknown name.
   service& Find(std::string_view name) const;
   /// Returns the service's port for \p Message. Throws `std::out_of_range`
-  /// for an unknown name and `std::logic_error` when it takes no such message.
+  /// for an unknown name and `std::logic_error` when the service does not
+  /// accept messages of this type.
   template <class Message>
   message_port<Message>& FindPort(std::string_view name) const {
     auto* port = dynamic_cast<message_port<Message>*>(&Find(name));
     if (port == nullptr) {
       throw std::logic_error("service " + std::string(name) +
-                             " does not take this message");
+                             " does not accept messages of this type");
     }
     return *port;
   }
 
-  /// Starts all services in order. When one throws, those already started are
-  /// stopped and the exception goes on.
+  /// Starts all services in order. When one throws, stops those already started
+  /// and rethrows.
   void StartAll();
   /// Stops the started services in reverse order.
   void StopAll();
--- a/include/cuminswitch/Kernel/loop_task.h
+++ b/include/cuminswitch/Kernel/loop_task.h
@@ -1,5 +1,5 @@
 /// \file
-/// A service that shares its event loop with others and talks by messages.
+/// A message-driven service that shares its event loop with others.
 #ifndef CUMINSWITCH_KERNEL_LOOP_TASK_H_
 #define CUMINSWITCH_KERNEL_LOOP_TASK_H_
 
@@ -13,9 +13,10 @@
 
 namespace cuminswitch {
 
-/// Like `task`, without a thread of its own: on a host with a part of one core
-/// a message between threads costs two wake-ups and gains nothing. Messages
-/// are delivered from the loop, never from within `Post`.
+/// Like `task`, without a thread of its own: on a host with a fraction of one
+/// core a message between threads costs two wake-ups and gains nothing.
+/// Messages are delivered from the loop, never from within `Post`. Only the
+/// thread of the loop may call `Post`.
 template <class Message>
 class loop_task : public service, public message_port<Message> {
  public:
--- a/include/cuminswitch/Kernel/message_port.h
+++ b/include/cuminswitch/Kernel/message_port.h
@@ -1,11 +1,12 @@
 /// \file
-/// Where a service takes messages of one type.
+/// The interface through which a service accepts messages of one type.
 #ifndef CUMINSWITCH_KERNEL_MESSAGE_PORT_H_
 #define CUMINSWITCH_KERNEL_MESSAGE_PORT_H_
 
 namespace cuminswitch {
 
-/// Accepts messages from any thread; they arrive in the order of each sender.
+/// Accepts messages; those of one sender are delivered in the order of sending.
+/// Whether any thread may call `Post` depends on the implementation.
 template <class Message>
 class message_port {
  public:
--- a/include/cuminswitch/Kernel/service.h
+++ b/include/cuminswitch/Kernel/service.h
@@ -1,5 +1,5 @@
 /// \file
-/// A named part of a process.
+/// The interface of the named services that make up a process.
 #ifndef CUMINSWITCH_KERNEL_SERVICE_H_
 #define CUMINSWITCH_KERNEL_SERVICE_H_
 
@@ -7,14 +7,15 @@
 
 namespace cuminswitch {
 
-/// What the kernel starts, finds by name and stops.
+/// A component that the kernel starts, finds by name and stops.
 class service {
  public:
   virtual ~service() = default;
   virtual std::string_view Name() const = 0;
-  /// Begins to work. Throws when it cannot, for example `bind_error`.
+  /// Starts the service. Throws when it cannot start, for example `bind_error`.
   virtual void Start() = 0;
-  /// Ends its work and joins its thread. Called once, and only after `Start`.
+  /// Stops the service and joins its thread, if any. Called once, after
+  /// `Start`.
   virtual void Stop() = 0;
 };
 
--- a/include/cuminswitch/Kernel/task.h
+++ b/include/cuminswitch/Kernel/task.h
@@ -1,5 +1,5 @@
 /// \file
-/// A service that owns its sockets and state and talks by messages.
+/// A message-driven service with a thread of its own.
 #ifndef CUMINSWITCH_KERNEL_TASK_H_
 #define CUMINSWITCH_KERNEL_TASK_H_
 
@@ -13,8 +13,9 @@
 
 namespace cuminswitch {
 
-/// One thread, one event loop and one mailbox. Everything but `Post` runs in
-/// the task's own thread.
+/// One thread, one event loop and one mailbox. Any thread may call `Post`;
+/// `OnStart`, `OnStop` and `Receive` run in the task's own thread, which owns
+/// its sockets and state.
 template <class Message>
 class task : public service, public message_port<Message> {
  public:
@@ -39,7 +40,7 @@
   }
 
  protected:
-  /// Opens sockets; what it throws, `Start` throws.
+  /// Opens sockets; `Start` rethrows its exceptions.
   virtual void OnStart() = 0;
   virtual void OnStop() = 0;
   virtual void Receive(Message message) = 0;
--- a/include/cuminswitch/Metrics/latency_histogram.h
+++ b/include/cuminswitch/Metrics/latency_histogram.h
@@ -1,5 +1,5 @@
 /// \file
-/// A histogram of times, backed by Boost.Histogram.
+/// A histogram of latencies, backed by Boost.Histogram.
 #ifndef CUMINSWITCH_METRICS_LATENCY_HISTOGRAM_H_
 #define CUMINSWITCH_METRICS_LATENCY_HISTOGRAM_H_
 
@@ -9,11 +9,12 @@
 
 namespace cuminswitch {
 
-/// Counts times from 10 microseconds to 100 seconds in bins that grow by a
-/// fixed factor; what lies outside falls into the outermost bins.
+/// Counts latencies from 10 microseconds to 100 seconds in bins whose width
+/// grows by a constant factor. Values outside the range count in the first or
+/// the last bin.
 class latency_histogram {
  public:
-  /// A bin's upper bound in seconds and the count of it and all below.
+  /// The upper bound of a bin, and the count of it and all bins below it.
   struct cumulative_bin {
     double upper_seconds = 0;
     uint64_t count = 0;
@@ -28,9 +29,10 @@
   void Merge(const latency_histogram& other);
   uint64_t Count() const { return count_; }
   double SumSeconds() const { return sum_; }
-  /// Returns the bound below which \p share of the counts lie; 0 when empty.
+  /// Returns the upper bound in seconds of the bin that holds quantile \p
+  /// share, which is in (0, 1]; 0 when the histogram is empty.
   double Quantile(double share) const;
-  /// Returns the bins, in order, with cumulative counts.
+  /// Returns all bins with cumulative counts, in ascending order.
   std::vector<cumulative_bin> CumulativeBins() const;
 
  private:
--- a/lib/Kernel/event_thread.cc
+++ b/lib/Kernel/event_thread.cc
@@ -57,7 +57,8 @@
 }
 
 void event_thread::Run() {
-  // A stop may come before the loop runs; libevent would forget it then.
+  // `Stop` may be called before the loop runs; libevent ignores a loop break
+  // then, so that the flag is checked as well.
   while (!stopping_) {
     event_base_loop(base_, EVLOOP_NO_EXIT_ON_EMPTY);
   }
--- a/lib/Metrics/latency_histogram.cc
+++ b/lib/Metrics/latency_histogram.cc
@@ -7,7 +7,8 @@
 
 static constexpr double kLowestSeconds = 1e-5;
 static constexpr double kHighestSeconds = 1e2;
-/// Seven decades at sixteen bins each: a bin is 15% wide.
+/// Seven decades with 16 bins each: the upper bound of a bin is 15% above its
+/// lower bound.
 static constexpr unsigned kBins = 7 * 16;
 
 namespace bh = boost::histogram;
--- a/lib/Metrics/metric_page.cc
+++ b/lib/Metrics/metric_page.cc
@@ -47,7 +47,7 @@
       labels.empty() ? std::string() : std::string(labels) + ",";
   uint64_t last = 0;
   for (const auto& bin : histogram.CumulativeBins()) {
-    // Bins that add nothing are left out; the cumulative form allows it.
+    // Empty bins are omitted; cumulative counts stay correct without them.
     if (bin.count == last) {
       continue;
     }
--- a/unittests/Kernel/kernel_test.cc
+++ b/unittests/Kernel/kernel_test.cc
@@ -42,7 +42,7 @@
                                            "stop a"}));
 }
 
-TEST(KernelTest, FailedStartStopsWhatWasStarted) {
+TEST(KernelTest, StopsStartedServicesWhenAStartFails) {
   std::vector<std::string> log;
   kernel services;
   services.Register(std::make_unique<logging_service>("a", log, false));
@@ -51,7 +51,7 @@
   EXPECT_EQ(log, (std::vector<std::string>{"start a", "stop a"}));
 }
 
-TEST(KernelTest, UnknownNamesAndMessagesAreErrors) {
+TEST(KernelTest, RejectsUnknownNamesAndMessageTypes) {
   std::vector<std::string> log;
   kernel services;
   services.Register(std::make_unique<logging_service>("a", log, false));
@@ -79,7 +79,7 @@
   int sum_ = 0;
 };
 
-TEST(TaskTest, MessagesOfOneSenderArriveInOrder) {
+TEST(TaskTest, DeliversMessagesOfOneSenderInOrder) {
   summing_task sum;
   sum.Start();
   for (int i = 1; i <= 1000; ++i) {
--- a/unittests/Metrics/latency_histogram_test.cc
+++ b/unittests/Metrics/latency_histogram_test.cc
@@ -11,7 +11,7 @@
 namespace cuminswitch {
 namespace {
 
-TEST(LatencyHistogramTest, QuantilesAreWithinABinOfTheSortedOnes) {
+TEST(LatencyHistogramTest, ReportsQuantilesWithinOneBinOfTheExactOnes) {
   std::mt19937_64 random(6);
   std::lognormal_distribution<double> times(-3, 1);
   latency_histogram histogram;
@@ -28,7 +28,7 @@
   }
 }
 
-TEST(LatencyHistogramTest, MergeAddsCounts) {
+TEST(LatencyHistogramTest, AddsCountsOnMerge) {
   latency_histogram a;
   latency_histogram b;
   a.Add(0.1);
