--- a/include/cuminswitch/Report/burn_report.h
+++ b/include/cuminswitch/Report/burn_report.h
@@ -1,5 +1,5 @@
 /// \file
-/// How fast the error budgets of the service-level objectives burn.
+/// Burn rates of the error budgets of the service-level objectives.
 #ifndef CUMINSWITCH_REPORT_BURN_REPORT_H_
 #define CUMINSWITCH_REPORT_BURN_REPORT_H_
 
@@ -13,16 +13,17 @@
 
 struct platform_spec;
 
-/// One objective over one window.
+/// The burn rate of one objective over one window.
 struct burn_rate {
   uint64_t good = 0;
   uint64_t total = 0;
-  /// The share of bad events over the share that the objective allows: at 1
-  /// the budget lasts exactly as long as its period, above 1 it does not.
+  /// The fraction of bad events divided by the fraction that the objective
+  /// allows. At 1 the error budget lasts exactly for its period, above 1 it is
+  /// used up earlier.
   double burn = 0;
 };
 
-/// The objectives of a workspace, or of the platform, over one window.
+/// The burn rates of a workspace, or of the platform, over one window.
 struct objective_burn {
   burn_rate first_token;
   burn_rate between_tokens;
@@ -36,14 +37,16 @@
   objective_burn long_window;
 };
 
-/// Compares two samples: the long window is all of \p end, the short one what
-/// came since \p begin. The platform comes first, then the workspaces.
+/// Computes burn rates from two samples: the long window is all of \p end, the
+/// short one the events between \p begin and \p end. The first row is the whole
+/// platform; a row for each workspace follows.
 std::vector<workspace_burn> ComputeBurn(const platform_spec& objectives,
                                         const metric_sample& begin,
                                         const metric_sample& end);
 
-/// Writes a table for a person, or JSON.
+/// Returns a table for people to read.
 std::string WriteBurnText(const std::vector<workspace_burn>& rows);
+/// Returns JSON.
 std::string WriteBurnJson(const std::vector<workspace_burn>& rows);
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Report/metric_sample.h
+++ b/include/cuminswitch/Report/metric_sample.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a daemon's metrics page says of each workspace.
+/// The counts per workspace on the metrics pages of daemons.
 #ifndef CUMINSWITCH_REPORT_METRIC_SAMPLE_H_
 #define CUMINSWITCH_REPORT_METRIC_SAMPLE_H_
 
@@ -10,16 +10,17 @@
 
 namespace cuminswitch {
 
-/// Cumulative counts by upper bound in seconds, as in the exposition format.
-/// Bounds that add nothing may be missing.
+/// Cumulative counts by upper bound in seconds, as in the text exposition
+/// format. Bounds of empty bins may be missing.
 struct sampled_histogram {
   std::map<double, uint64_t> cumulative;
   uint64_t count = 0;
 
-  /// Returns how many were at most \p seconds, counting whole bins only.
+  /// Returns the count of the bins whose upper bound is at most \p seconds.
   uint64_t CountWithin(double seconds) const;
 };
 
+/// The counts of one workspace since the start of the daemons.
 struct workspace_sample {
   uint64_t answered = 0;
   uint64_t not_run = 0;
@@ -28,10 +29,11 @@
   sampled_histogram between_tokens;
 };
 
+/// The counts by name of the workspace.
 using metric_sample = std::map<std::string, workspace_sample, std::less<>>;
 
-/// Reads a metrics page and adds its counts to \p sample. Lines that are not
-/// about workspaces are passed over.
+/// Parses a metrics page and adds its counts to \p sample. Lines without a
+/// `workspace` label are ignored.
 void AddMetricsPage(std::string_view page, metric_sample& sample);
 
 }  // namespace cuminswitch
--- a/lib/Report/burn_report.cc
+++ b/lib/Report/burn_report.cc
@@ -9,12 +9,13 @@
 namespace cuminswitch {
 namespace {
 
-/// Latency objectives hold for 95 in 100.
-constexpr double kLatencyAllowance = 0.05;
+/// Fraction of events that may miss a latency objective: the objectives are
+/// 95th percentiles.
+constexpr double kLatencyErrorBudget = 0.05;
 constexpr double kMillisPerSecond = 1000;
 constexpr double kPartsPerMillion = 1e6;
 
-/// Good and total events of one sample, by objective.
+/// Good and total events of one sample by objective.
 struct event_counts {
   uint64_t first_token_good = 0;
   uint64_t first_token_total = 0;
@@ -36,7 +37,8 @@
           .requests = sample.answered + sample.not_run + sample.unknown};
 }
 
-/// A daemon that restarted counts from zero again; less than before is none.
+/// Returns the events between two counts, 0 if the count decreased: a daemon
+/// that restarted counts from zero again.
 uint64_t Difference(uint64_t end, uint64_t begin) {
   return end > begin ? end - begin : 0;
 }
@@ -63,26 +65,27 @@
   into.requests += other.requests;
 }
 
-burn_rate MakeRate(uint64_t good, uint64_t total, double allowance) {
+burn_rate MakeRate(uint64_t good, uint64_t total, double error_budget) {
   burn_rate rate{.good = good, .total = total};
   if (total != 0) {
     const double bad = static_cast<double>(Difference(total, good));
-    rate.burn = bad / static_cast<double>(total) / allowance;
+    rate.burn = bad / static_cast<double>(total) / error_budget;
   }
   return rate;
 }
 
 objective_burn MakeBurn(const platform_spec& objectives,
                         const event_counts& counts) {
-  const double answered_allowance =
+  const double answered_error_budget =
       1 - objectives.answered_target_ppm / kPartsPerMillion;
-  return {.first_token = MakeRate(counts.first_token_good,
-                                  counts.first_token_total, kLatencyAllowance),
-          .between_tokens =
-              MakeRate(counts.between_tokens_good, counts.between_tokens_total,
-                       kLatencyAllowance),
-          .answered =
-              MakeRate(counts.answered, counts.requests, answered_allowance)};
+  return {
+      .first_token = MakeRate(counts.first_token_good, counts.first_token_total,
+                              kLatencyErrorBudget),
+      .between_tokens =
+          MakeRate(counts.between_tokens_good, counts.between_tokens_total,
+                   kLatencyErrorBudget),
+      .answered =
+          MakeRate(counts.answered, counts.requests, answered_error_budget)};
 }
 
 nlohmann::json ToJson(const burn_rate& rate) {
--- a/lib/Report/metric_sample.cc
+++ b/lib/Report/metric_sample.cc
@@ -11,7 +11,7 @@
 constexpr std::string_view kBetweenTokens =
     "cuminswitch_between_tokens_seconds";
 
-/// One line: `name{labels} value`.
+/// A parsed line `name{labels} value`.
 struct sample_line {
   std::string_view name;
   std::string_view labels;
@@ -44,12 +44,12 @@
 }
 
 std::string_view FindLabel(std::string_view labels, std::string_view name) {
-  const std::string mark = std::string(name) + "=\"";
-  const size_t at = labels.find(mark);
+  const std::string prefix = std::string(name) + "=\"";
+  const size_t at = labels.find(prefix);
   if (at == std::string_view::npos) {
     return {};
   }
-  const std::string_view rest = labels.substr(at + mark.size());
+  const std::string_view rest = labels.substr(at + prefix.size());
   return rest.substr(0, rest.find('"'));
 }
 
@@ -78,7 +78,7 @@
   }
 }
 
-/// Turns cumulative counts into the count of each bin.
+/// Converts cumulative counts to the count of each bin.
 std::map<double, uint64_t> ToBins(const sampled_histogram& histogram) {
   std::map<double, uint64_t> bins;
   uint64_t last = 0;
@@ -89,7 +89,8 @@
   return bins;
 }
 
-/// Adds \p other bin by bin: the daemons leave out different bounds.
+/// Adds \p other to \p into bin by bin, since the pages of two daemons may omit
+/// different bounds.
 void Merge(const sampled_histogram& other, sampled_histogram& into) {
   std::map<double, uint64_t> bins = ToBins(into);
   for (const auto& [bound, count] : ToBins(other)) {
@@ -118,7 +119,7 @@
 }
 
 void AddMetricsPage(std::string_view page, metric_sample& sample) {
-  metric_sample own;
+  metric_sample page_sample;
   while (!page.empty()) {
     const size_t end = std::min(page.find('\n'), page.size());
     const std::optional<sample_line> line = ParseLine(page.substr(0, end));
@@ -130,7 +131,7 @@
     if (name.empty()) {
       continue;
     }
-    workspace_sample& workspace = own[std::string(name)];
+    workspace_sample& workspace = page_sample[std::string(name)];
     if (line->name == kRequests) {
       AddRequests(*line, workspace);
     } else if (line->name.starts_with(kFirstToken)) {
@@ -141,7 +142,7 @@
                        workspace.between_tokens);
     }
   }
-  for (const auto& [name, workspace] : own) {
+  for (const auto& [name, workspace] : page_sample) {
     workspace_sample& total = sample[name];
     total.answered += workspace.answered;
     total.not_run += workspace.not_run;
--- a/lib/Settings/daemon_settings.cc
+++ b/lib/Settings/daemon_settings.cc
@@ -15,10 +15,10 @@
 constexpr int64_t kMaxShards = 1024;
 constexpr int64_t kMaxRate = 100'000;
 constexpr int64_t kMaxRetentionSeconds = 86'400;
-constexpr int64_t kMaxAddressSeconds = 3600;
-constexpr size_t kLeastCredentialLength = 16;
+constexpr int64_t kMaxAddressTtlSeconds = 3600;
+constexpr size_t kMinCredentialLength = 16;
 
-/// Reads the tables of one settings file.
+/// Reads the tables of one settings file and collects findings.
 class settings_reader {
  public:
   settings_reader(const toml::table& root, std::string_view file)
@@ -33,7 +33,8 @@
                         .path = std::move(path),
                         .findings = findings_});
   }
-  /// Returns the table \p key, or an empty one with a finding if required.
+  /// Returns the table \p key, or an empty one if it is missing or no table.
+  /// Adds a finding if it is no table, or missing and \p required.
   const toml::table& FindTable(std::string_view key, bool required);
   std::chrono::milliseconds ReadMillis(toml_reader& reader,
                                        std::string_view key,
@@ -93,7 +94,7 @@
   }
   settings_.peer_credential = reader.ReadString("credential");
   if (!settings_.peer_credential.empty() &&
-      settings_.peer_credential.size() < kLeastCredentialLength) {
+      settings_.peer_credential.size() < kMinCredentialLength) {
     reader.Report("credential", "must have at least 16 characters");
   }
 }
@@ -169,7 +170,7 @@
   settings_.caller_address = root.ReadEndpoint("caller_address");
   settings_.platform_address = root.ReadEndpoint("platform_address");
   settings_.address_time_to_live = std::chrono::seconds(
-      root.ReadInteger("address_time_to_live_seconds", 1, kMaxAddressSeconds,
+      root.ReadInteger("address_time_to_live_seconds", 1, kMaxAddressTtlSeconds,
                        settings_.address_time_to_live.count()));
   ReadPeers();
   ReadLimits();
--- a/unittests/Report/burn_report_test.cc
+++ b/unittests/Report/burn_report_test.cc
@@ -29,7 +29,7 @@
   return page.Take();
 }
 
-TEST(BurnReportTest, ReadsWhatTheDaemonWrites) {
+TEST(BurnReportTest, ParsesAMetricPage) {
   metric_sample sample;
   AddMetricsPage(MakePage("w", 95, 5), sample);
   const workspace_sample& w = sample.at("w");
@@ -39,7 +39,7 @@
   EXPECT_EQ(w.first_token.CountWithin(1.6), 95U);
 }
 
-TEST(BurnReportTest, DaemonsWithDifferentBoundsAddUp) {
+TEST(BurnReportTest, AddsHistogramsWithDifferentBounds) {
   metric_sample sample;
   AddMetricsPage(MakePage("w", 10, 0), sample);
   AddMetricsPage(MakePage("w", 0, 4), sample);
@@ -47,7 +47,7 @@
   EXPECT_EQ(sample.at("w").first_token.CountWithin(100), 14U);
 }
 
-TEST(BurnReportTest, BudgetBurnsAtOneWhenTheObjectiveIsJustMet) {
+TEST(BurnReportTest, ReportsABurnOfOneWhenTheObjectiveIsJustMet) {
   metric_sample end;
   AddMetricsPage(MakePage("w", 95, 5), end);
   const platform_spec objectives{.first_token_target_ms = 1600,
@@ -58,7 +58,7 @@
   EXPECT_NEAR(rows[1].long_window.answered.burn, 1, 1e-9);
 }
 
-TEST(BurnReportTest, ShortWindowIsWhatCameSince) {
+TEST(BurnReportTest, CountsEventsSinceTheFirstSampleInTheShortWindow) {
   metric_sample begin;
   metric_sample end;
   AddMetricsPage(MakePage("w", 100, 0), begin);
@@ -69,9 +69,9 @@
   EXPECT_LT(rows[1].long_window.first_token.burn, 2);
 }
 
-// Symptom: the report shows a burn of millions.
+// Symptom: the report shows a burn rate of millions.
 // Cause: a daemon restarted between the samples and counts from zero again.
-TEST(BurnReportTest, RestartedDaemonIsNoBurn) {
+TEST(BurnReportTest, ReportsNoBurnAcrossARestart) {
   metric_sample begin;
   metric_sample end;
   AddMetricsPage(MakePage("w", 100, 10), begin);
--- a/unittests/Settings/daemon_settings_test.cc
+++ b/unittests/Settings/daemon_settings_test.cc
@@ -28,7 +28,7 @@
   return {};
 }
 
-TEST(DaemonSettingsTest, DefaultsAreUsedForWhatIsAbsent) {
+TEST(DaemonSettingsTest, UsesDefaultsForAbsentSettings) {
   const daemon_settings settings = ParseDaemonSettings(kSettings, "s.toml");
   EXPECT_EQ(settings.host, "entry-1");
   EXPECT_EQ(settings.seeds.size(), 1U);
@@ -36,13 +36,13 @@
   EXPECT_EQ(settings.routing_policy, "prefix_cost");
 }
 
-TEST(DaemonSettingsTest, UnknownSettingIsAFinding) {
+TEST(DaemonSettingsTest, ReportsAnUnknownSettingWithItsLine) {
   EXPECT_NE(FindingsOf(std::string(kSettings) + "[limits]\nmax_bdy = 1\n")
                 .find("s.toml:10:"),
             std::string::npos);
 }
 
-TEST(DaemonSettingsTest, EveryFindingIsReported) {
+TEST(DaemonSettingsTest, ReportsEveryFinding) {
   const std::string findings = FindingsOf(
       "host = 3\ncaller_address = \"nowhere\"\n[routing]\npolicy = \"x\"\n");
   for (const char* part :
@@ -53,7 +53,7 @@
   }
 }
 
-TEST(DaemonSettingsTest, ShortPeerCredentialIsRefused) {
+TEST(DaemonSettingsTest, RejectsAShortPeerCredential) {
   std::string text = kSettings;
   text.replace(text.find("sixteen characters"), 18, "short");
   EXPECT_NE(FindingsOf(text).find("at least 16"), std::string::npos);
