--- a/include/cuminswitch/CommandLine/option_parser.h
+++ b/include/cuminswitch/CommandLine/option_parser.h
@@ -1,5 +1,5 @@
 /// \file
-/// Command-line options, with popt.
+/// Command-line options, parsed with popt.
 #ifndef CUMINSWITCH_COMMANDLINE_OPTION_PARSER_H_
 #define CUMINSWITCH_COMMANDLINE_OPTION_PARSER_H_
 
@@ -11,18 +11,18 @@
 
 namespace cuminswitch {
 
-/// Thrown for a command line that cannot be read; the message names the
-/// argument.
+/// Thrown for an invalid command line; the message names the argument.
 class usage_error : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-/// Declares options bound to variables, and reads them. `--help` prints the
-/// options and ends the program with status 0.
+/// Declares options bound to variables, and parses them. `--help` prints the
+/// options and exits with status 0.
 class option_parser {
  public:
-  /// \p usage stands behind the program's name, for example `[OPTION...] FILE`.
+  /// \p usage follows the name of the program in the usage line, for example
+  /// `[OPTION...] FILE`.
   option_parser(std::string program, std::string usage);
 
   void AddString(const char* name,
@@ -33,8 +33,8 @@
   void AddNumber(const char* name, double& target, const char* help);
   void AddFlag(const char* name, bool& target, const char* help);
 
-  /// Reads \p arguments (without the program's name) and returns those that
-  /// are not options. Throws `usage_error`.
+  /// Parses \p arguments, which do not include the name of the program, and
+  /// returns those that are not options. Throws `usage_error`.
   std::vector<std::string> Parse(const std::vector<std::string>& arguments);
 
  private:
@@ -48,7 +48,7 @@
     int* integer = nullptr;
     double* number = nullptr;
     bool* flag = nullptr;
-    /// What popt writes into.
+    /// Variables that popt writes.
     char* raw_text = nullptr;
     int raw_flag = 0;
   };
@@ -58,7 +58,7 @@
   std::deque<option> options_;
 };
 
-/// Returns the arguments behind the program's name.
+/// Returns the arguments without the name of the program.
 std::vector<std::string> ArgumentsOf(int argc, char** argv);
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/CommandLine/program.h
+++ b/include/cuminswitch/CommandLine/program.h
@@ -1,12 +1,12 @@
 /// \file
-/// How a program that reports its errors on standard error begins.
+/// The entry point of programs that report exceptions on standard error.
 #ifndef CUMINSWITCH_COMMANDLINE_PROGRAM_H_
 #define CUMINSWITCH_COMMANDLINE_PROGRAM_H_
 
 namespace cuminswitch {
 
-/// Runs \p run and returns its exit status, or 1 after it has printed what
-/// \p run threw behind the name of the program.
+/// Calls \p run and returns its exit status. Prints an exception thrown by
+/// \p run with the name of the program as prefix, and returns 1.
 int RunProgram(const char* name,
                int (*run)(int argc, char** argv),
                int argc,
--- a/include/cuminswitch/Support/digest.h
+++ b/include/cuminswitch/Support/digest.h
@@ -14,7 +14,8 @@
 /// Returns the SHA-256 digest of \p data in lower-case hexadecimal.
 std::string Sha256Hex(std::string_view data);
 
-/// Compares two secrets without leaking, through time, where they differ.
+/// Compares two secrets of equal length in a time that does not depend on where
+/// they differ.
 bool EqualInConstantTime(std::string_view a, std::string_view b);
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Support/endpoint.h
+++ b/include/cuminswitch/Support/endpoint.h
@@ -11,7 +11,7 @@
 
 namespace cuminswitch {
 
-/// A numeric IPv4 address and a TCP port. Names are never resolved.
+/// A numeric IPv4 address and a TCP port. Host names are never resolved.
 struct endpoint {
   std::string address;
   uint16_t port = 0;
@@ -20,7 +20,7 @@
   friend auto operator<=>(const endpoint&, const endpoint&) = default;
 };
 
-/// Parses `a.b.c.d:port`; nothing when \p text is not of that form.
+/// Parses `a.b.c.d:port`; returns nothing when \p text is not of that form.
 std::optional<endpoint> ParseEndpoint(std::string_view text);
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Support/finding.h
+++ b/include/cuminswitch/Support/finding.h
@@ -1,5 +1,5 @@
 /// \file
-/// One thing wrong with an input, with its place.
+/// A problem in an input file, with its location.
 #ifndef CUMINSWITCH_SUPPORT_FINDING_H_
 #define CUMINSWITCH_SUPPORT_FINDING_H_
 
@@ -8,9 +8,9 @@
 
 namespace cuminswitch {
 
-/// Where in an input a finding stands. Line and column count from 1; 0 means
-/// that the place is the whole input.
-struct source_place {
+/// The location of a finding in an input. Lines and columns count from 1; 0
+/// means that the finding is about the whole input.
+struct source_location {
   std::string file;
   uint32_t line = 0;
   uint32_t column = 0;
@@ -18,9 +18,9 @@
   std::string path;
 };
 
-/// One finding: a place and what is wrong there, in lower case.
+/// One problem: its location and a message that begins in lower case.
 struct finding {
-  source_place place;
+  source_location place;
   std::string message;
 
   /// Returns `file:line:column: path: message`.
--- a/include/cuminswitch/Support/findings_error.h
+++ b/include/cuminswitch/Support/findings_error.h
@@ -10,7 +10,7 @@
 
 namespace cuminswitch {
 
-/// Thrown when an input has findings; `what()` lists them, one a line.
+/// Thrown when an input has findings; `what()` lists them, one per line.
 class findings_error : public std::runtime_error {
  public:
   explicit findings_error(std::vector<finding> findings);
--- a/include/cuminswitch/Support/outcome.h
+++ b/include/cuminswitch/Support/outcome.h
@@ -1,6 +1,6 @@
 /// \file
-/// What is known of a request at its end. One type carries it through every
-/// layer, so that no layer can turn doubt into certainty.
+/// The outcome of a request. All layers use this one type, so that no layer can
+/// report an unknown outcome as a known one.
 #ifndef CUMINSWITCH_SUPPORT_OUTCOME_H_
 #define CUMINSWITCH_SUPPORT_OUTCOME_H_
 
@@ -10,15 +10,15 @@
 
 /// The three outcomes of a request or of one attempt at it.
 enum class outcome {
-  /// An upstream ran it and its answer is whole.
+  /// An upstream executed it and its response is complete.
   kAnswered,
-  /// No byte of it can have reached an upstream that may run it.
+  /// No byte of it can have reached an upstream that may execute it.
   kNotRun,
-  /// An upstream may have run it, in full or in part.
+  /// An upstream may have executed it, fully or partly.
   kUnknown,
 };
 
-/// Returns the outcome's name as it stands in answers and logs.
+/// Returns the name of the outcome in responses, logs and metrics.
 constexpr std::string_view ToString(outcome value) {
   switch (value) {
     case outcome::kAnswered:
--- a/include/cuminswitch/Support/rendezvous.h
+++ b/include/cuminswitch/Support/rendezvous.h
@@ -1,6 +1,6 @@
 /// \file
-/// Rendezvous hashing: every daemon ranks the same candidates for a key in
-/// the same order without talking to any other.
+/// Rendezvous hashing: every daemon ranks the same candidates for a key in the
+/// same order without communication.
 #ifndef CUMINSWITCH_SUPPORT_RENDEZVOUS_H_
 #define CUMINSWITCH_SUPPORT_RENDEZVOUS_H_
 
@@ -10,7 +10,8 @@
 
 namespace cuminswitch {
 
-/// The weight of candidate \p candidate for \p key; the greatest one wins.
+/// Returns the weight of \p candidate for \p key; the greatest weight ranks
+/// first.
 constexpr uint64_t RendezvousWeight(uint64_t key, uint64_t candidate) {
   return CombineHash(key, candidate);
 }
--- a/include/cuminswitch/Support/status_code.h
+++ b/include/cuminswitch/Support/status_code.h
@@ -1,5 +1,5 @@
 /// \file
-/// The HTTP status codes that the programs send or tell apart.
+/// The HTTP status codes that the programs send or distinguish.
 #ifndef CUMINSWITCH_SUPPORT_STATUS_CODE_H_
 #define CUMINSWITCH_SUPPORT_STATUS_CODE_H_
 
--- a/include/cuminswitch/Support/time.h
+++ b/include/cuminswitch/Support/time.h
@@ -1,6 +1,6 @@
 /// \file
-/// The time types of the decision core. There is no `now()` here on purpose:
-/// the core is told the time with each event, so that tests own the clock.
+/// The time types of the decision core. There is no `now()` on purpose: the
+/// core gets the time with each event, so that tests control the clock.
 #ifndef CUMINSWITCH_SUPPORT_TIME_H_
 #define CUMINSWITCH_SUPPORT_TIME_H_
 
@@ -8,7 +8,7 @@
 
 namespace cuminswitch {
 
-/// A monotonic clock that only the shell can read.
+/// A monotonic clock. Only the code around the decision core reads it.
 struct core_clock {
   using duration = std::chrono::microseconds;
   using rep = duration::rep;
--- a/lib/CommandLine/option_parser.cc
+++ b/lib/CommandLine/option_parser.cc
@@ -110,11 +110,11 @@
       *item.flag = true;
     }
   }
-  std::vector<std::string> rest;
+  std::vector<std::string> positional;
   while (const char* argument = poptGetArg(context.get())) {
-    rest.emplace_back(argument);
+    positional.emplace_back(argument);
   }
-  return rest;
+  return positional;
 }
 
 std::vector<std::string> ArgumentsOf(int argc, char** argv) {
--- a/unittests/CommandLine/option_parser_test.cc
+++ b/unittests/CommandLine/option_parser_test.cc
@@ -5,7 +5,7 @@
 namespace cuminswitch {
 namespace {
 
-TEST(OptionParserTest, ReadsOptionsAndLeavesTheRest) {
+TEST(OptionParserTest, ParsesOptionsAndReturnsOtherArguments) {
   std::string text;
   int count = 0;
   bool flag = false;
@@ -21,7 +21,7 @@
   EXPECT_EQ(rest, (std::vector<std::string>{"a", "b"}));
 }
 
-TEST(OptionParserTest, UnknownOptionIsNamed) {
+TEST(OptionParserTest, NamesAnUnknownOption) {
   option_parser parser("p", "");
   try {
     parser.Parse({"--nothing"});
