--- a/include/cuminswitch/Config/configuration.h
+++ b/include/cuminswitch/Config/configuration.h
@@ -1,6 +1,5 @@
 /// \file
-/// The operators' intended configuration as typed data. The structs are one
-/// family and share this header.
+/// The configuration that the operators intend, as typed data.
 #ifndef CUMINSWITCH_CONFIG_CONFIGURATION_H_
 #define CUMINSWITCH_CONFIG_CONFIGURATION_H_
 
@@ -12,20 +11,22 @@
 
 namespace cuminswitch {
 
-/// How urgent a workspace's requests are. Waiting requests age towards the
-/// more urgent classes, so that batch work waits but is never starved.
+/// The priority of a workspace's requests. The priority of queued requests
+/// rises with their age, so that batch requests wait longer but are never
+/// starved.
 enum class priority_class : uint8_t { kInteractive, kStandard, kBatch };
 inline constexpr size_t kPriorityClasses = 3;
 
-/// Which cost a platform weighs most when it places requests.
+/// The cost that routing minimizes first when it places requests.
 enum class routing_objective : uint8_t {
-  /// Tail of time to first token.
+  /// Tail latency of the first token.
   kFirstToken,
-  /// Prefix reuse: hit rate and wasted recomputation.
+  /// Recomputation of prefixes that an engine has in its cache: raises the hit
+  /// rate of the prefix caches.
   kReuse,
 };
 
-/// What an upstream is: a language-model engine or a plain service.
+/// Whether an upstream is a language-model engine or another service.
 enum class upstream_kind : uint8_t { kEngine, kService };
 
 /// Settings of the whole platform and its service-level objectives.
@@ -34,42 +35,45 @@
   routing_objective objective = routing_objective::kFirstToken;
   uint32_t first_token_target_ms = 1600;
   uint32_t between_tokens_target_ms = 61;
-  /// Share of requests that must be answered, in parts per million.
+  /// Objective for the fraction of requests with outcome `kAnswered`, in parts
+  /// per million.
   uint32_t answered_target_ppm = 999'000;
 };
 
-/// A store from which engines copy cached prefixes, and where they save them.
+/// A store where engines save the prefixes in their caches, and from which they
+/// copy them.
 struct cache_store_spec {
   endpoint address;
-  /// Copies from another failure domain take its link for twice as long.
+  /// The failure domain of the store. A copy to an engine in another failure
+  /// domain occupies the link of the store for twice as long.
   std::string failure_domain;
-  /// Prompt tokens per second that its link carries; 0 for not known.
+  /// Bandwidth of its link in prompt tokens per second; 0 if unknown.
   double copy_rate = 0;
 };
 
-/// A model that engines serve. Weights of another version are another cache.
+/// A model that engines serve. Cached prefixes are valid for one version of the
+/// weights only.
 struct model_spec {
   std::string name;
   std::string version;
   std::string adapter;
-  /// Where engines save prefixes that they computed, and copy them from; each
-  /// prefix has its place in one of them.
+  /// The stores of computed prefixes; each prefix is assigned to one of them.
   std::vector<cache_store_spec> cache_stores;
   /// Prompt tokens per second that one engine can copy from another; 0 where
   /// engines cannot copy.
   double copy_rate = 0;
-  /// Prompt tokens that one engine can keep; 0 for not known.
+  /// Capacity of the prefix cache of one engine in prompt tokens; 0 if unknown.
   double cache_tokens = 0;
 };
 
-/// A plain service that requests are routed to.
+/// A service without a model that requests are routed to.
 struct service_spec {
   std::string name;
-  /// Whether a call may be repeated without an idempotency key.
+  /// Whether a request may be retried without an idempotency key.
   bool repeatable = false;
 };
 
-/// One process that answers requests.
+/// One process that serves requests.
 struct upstream_spec {
   std::string name;
   upstream_kind kind = upstream_kind::kEngine;
@@ -77,8 +81,9 @@
   std::string failure_domain;
   /// Names of the models (engine) or services (service) it serves.
   std::vector<std::string> serves;
+  /// Maximum number of concurrent requests.
   uint32_t max_in_flight = 16;
-  /// Whether it refuses a request that carries an old fencing number.
+  /// Whether it refuses requests with an outdated fencing token.
   bool checks_fencing = false;
   /// Set by operators to drain the upstream.
   bool leaving = false;
@@ -92,18 +97,21 @@
   priority_class priority = priority_class::kStandard;
   /// Names of the models and services it may use.
   std::vector<std::string> uses;
+  /// Maximum number of concurrent requests.
   uint32_t max_in_flight = 64;
 };
 
-/// Limits a workspace's use of one model or service to failure domains.
+/// Restricts the requests of a workspace for one model or service to upstreams
+/// in the given failure domains.
 struct placement_spec {
   std::string workspace;
-  /// A model's or a service's name.
+  /// The name of a model or a service.
   std::string target;
   std::vector<std::string> failure_domains;
 };
 
-/// Everything the operators intend, sorted by name within each list.
+/// The whole configuration. Each list is sorted by name; placements are sorted
+/// by workspace, then target.
 struct configuration {
   platform_spec platform;
   std::vector<model_spec> models;
--- a/include/cuminswitch/Config/document.h
+++ b/include/cuminswitch/Config/document.h
@@ -1,5 +1,5 @@
 /// \file
-/// Reading and writing the one document that states the configuration.
+/// Parses and writes the TOML document that holds the configuration.
 #ifndef CUMINSWITCH_CONFIG_DOCUMENT_H_
 #define CUMINSWITCH_CONFIG_DOCUMENT_H_
 
@@ -12,21 +12,21 @@
 
 struct configuration;
 
-/// Reads a TOML document and checks it whole. \p file names it in findings.
-/// Throws `findings_error` with every finding when there is one.
+/// Parses and checks a whole document. \p file names it in findings. Throws
+/// `findings_error` with all findings if there are any.
 configuration ParseDocument(std::string_view text, std::string_view file);
 
-/// Reads one chunk of an accepted document. References to items that other
-/// chunks hold are not checked. Throws `findings_error`.
+/// Parses one chunk of an accepted document. References to items in other
+/// chunks are not checked. Throws `findings_error`.
 configuration ParseFragment(std::string_view text, std::string_view file);
 
 /// Joins the fragments of one document.
 configuration MergeFragments(std::span<const configuration* const> fragments);
 
-/// Writes the canonical document in chunks, the first of which holds all but
-/// the workspaces. Workspaces go to chunks by the hash of their name, so a
-/// change to one workspace changes one chunk. The chunks' concatenation is a
-/// document that `ParseDocument` reads.
+/// Writes the canonical document in chunks. The first chunk holds everything
+/// but the workspaces. Workspaces are assigned to chunks by the hash of their
+/// name, so that a change to one workspace changes one chunk. The concatenation
+/// of the chunks is a document that `ParseDocument` accepts.
 std::vector<std::string> WriteChunks(const configuration& config);
 
 /// Writes the canonical document as one text.
--- a/include/cuminswitch/Config/document_diff.h
+++ b/include/cuminswitch/Config/document_diff.h
@@ -10,21 +10,23 @@
 
 struct configuration;
 
-/// One item that differs. An empty text means that the item is absent there.
+/// One item that differs. The text of an item is empty on the side where the
+/// item is absent.
 struct document_change {
-  /// The item's place, for example `workspace "tatry"`.
+  /// The kind and name of the item, for example `workspace "tatry"`.
   std::string place;
   std::string before;
   std::string after;
 };
 
-/// Lists what changes from \p before to \p after, ordered by place.
+/// Returns the items that differ between \p before and \p after, ordered by
+/// place.
 std::vector<document_change> DiffConfigurations(const configuration& before,
                                                 const configuration& after);
 
-/// Lists the places that both \p mine and \p theirs change from \p base, and
-/// that end differently: what an operator must settle by hand. In each,
-/// `before` is their text and `after` is mine.
+/// Returns the items that \p mine and \p theirs both changed from \p base, with
+/// different results: an operator must resolve these conflicts. In each change,
+/// `before` is the text in \p theirs and `after` the text in \p mine.
 std::vector<document_change> FindConflicts(const configuration& base,
                                            const configuration& mine,
                                            const configuration& theirs);
--- a/include/cuminswitch/Config/toml_reader.h
+++ b/include/cuminswitch/Config/toml_reader.h
@@ -1,6 +1,6 @@
 /// \file
-/// Typed, checked reads from a TOML table that collect findings with their
-/// place. Shared by the configuration document and the daemon's settings.
+/// Typed and checked access to a TOML table, which collects findings with their
+/// locations. The configuration document and the settings of the daemon use it.
 #ifndef CUMINSWITCH_CONFIG_TOML_READER_H_
 #define CUMINSWITCH_CONFIG_TOML_READER_H_
 
@@ -17,11 +17,13 @@
 
 namespace cuminswitch {
 
-/// Reads one table. Every problem becomes a finding; no read throws.
+/// Reads one table. Every problem is added to the findings; no member throws
+/// for invalid input.
 class toml_reader {
  public:
   struct options {
     const toml::table& table;
+    /// The name of the file and the path of the table, for findings.
     std::string_view file;
     std::string path;
     std::vector<finding>& findings;
@@ -32,24 +34,28 @@
   /// Reports every key that is not in \p known.
   void CheckKeys(std::initializer_list<std::string_view> known);
 
-  /// Reads a string; a finding if it is missing or empty and \p required.
+  /// Returns a string. Adds a finding if it is \p required and missing or
+  /// empty.
   std::string ReadString(std::string_view key, bool required = true);
-  /// Reads an integer in [\p low, \p high]; \p fallback when absent.
+  /// Returns an integer in [\p low, \p high], or \p fallback when it is absent.
+  /// Other values add a finding.
   int64_t ReadInteger(std::string_view key,
                       int64_t low,
                       int64_t high,
                       int64_t fallback);
   bool ReadBool(std::string_view key, bool fallback);
-  /// Reads an array of non-empty strings; a finding if it is empty.
+  /// Returns an array of non-empty strings. Adds a finding if the array is
+  /// \p required and missing or empty.
   std::vector<std::string> ReadStrings(std::string_view key, bool required);
-  /// Reads `address:port`.
+  /// Returns the endpoint in a required `address:port` string.
   endpoint ReadEndpoint(std::string_view key);
-  /// Reads one of \p names and returns its index; \p fallback when absent.
+  /// Returns the index in \p names of a string, or \p fallback when the string
+  /// is absent. Other strings add a finding.
   size_t ReadChoice(std::string_view key,
                     std::initializer_list<std::string_view> names,
                     size_t fallback);
 
-  /// Adds a finding at \p key, or at the table when \p key is absent.
+  /// Adds a finding at \p key, or at the table when the table has no such key.
   void Report(std::string_view key, std::string message);
 
  private:
@@ -59,7 +65,7 @@
   std::vector<finding>& findings_;
 };
 
-/// Parses TOML text; throws `findings_error` for a syntax error.
+/// Parses TOML text. Throws `findings_error` for a syntax error.
 toml::table ParseToml(std::string_view text, std::string_view file);
 
 }  // namespace cuminswitch
--- a/lib/Config/document.cc
+++ b/lib/Config/document.cc
@@ -20,7 +20,7 @@
 constexpr int64_t kMaxInFlight = 100'000;
 constexpr int64_t kMaxTargetMs = 600'000;
 constexpr int64_t kPartsPerMillion = 1'000'000;
-/// Names travel in headers, metrics and paths.
+/// Names are part of HTTP headers, metric labels and paths.
 constexpr size_t kMaxNameLength = 128;
 
 bool IsName(std::string_view text) {
@@ -30,10 +30,10 @@
          });
 }
 
-/// Whether the text is a whole document or one chunk of an accepted one.
+/// Whether the parsed text is a whole document or one chunk of an accepted one.
 enum class document_extent { kWhole, kFragment };
 
-/// Reads one document; findings gather in one list.
+/// Reads one document and collects all findings.
 class document_reader {
  public:
   document_reader(const toml::table& root,
@@ -59,7 +59,7 @@
   void ReadUpstream(toml_reader& reader);
   void ReadWorkspace(toml_reader& reader);
   void ReadPlacement(toml_reader& reader);
-  std::string ReadName(toml_reader& reader, std::set<std::string>& taken);
+  std::string ReadName(toml_reader& reader, std::set<std::string>& used_names);
   void CheckTarget(toml_reader& reader,
                    std::string_view key,
                    const std::string& name);
@@ -69,6 +69,8 @@
   document_extent extent_;
   std::vector<finding> findings_;
   configuration config_;
+  /// Names and credentials read so far, to detect duplicates and to check
+  /// references. The targets are models and services.
   std::set<std::string> targets_;
   std::set<std::string> upstreams_;
   std::set<std::string> workspaces_;
@@ -77,15 +79,15 @@
 };
 
 std::string document_reader::ReadName(toml_reader& reader,
-                                      std::set<std::string>& taken) {
+                                      std::set<std::string>& used_names) {
   std::string name = reader.ReadString("name");
   if (name.empty()) {
     return name;
   }
   if (!IsName(name)) {
-    reader.Report("name", "may hold letters, digits, '-', '_' and '.' only");
+    reader.Report("name", "must be 1 to 128 letters, digits, '-', '_' or '.'");
   }
-  if (!taken.insert(name).second) {
+  if (!used_names.insert(name).second) {
     reader.Report("name", "\"" + name + "\" is taken");
   }
   return name;
@@ -134,7 +136,7 @@
   for (size_t i = 0; i < items->size(); ++i) {
     const toml::table* table = (*items)[i].as_table();
     if (table == nullptr) {
-      MakeReader(root_, "").Report(key, "must hold only tables");
+      MakeReader(root_, "").Report(key, "must contain only tables");
       return;
     }
     toml_reader reader =
@@ -178,7 +180,8 @@
         std::any_of(config_.models.begin(), config_.models.end(),
                     [&](const model_spec& m) { return m.name == name; });
     if (targets_.contains(name) && is_model != engine) {
-      reader.Report("serves", "\"" + name + "\" is not of the upstream's kind");
+      reader.Report("serves",
+                    "\"" + name + "\" does not match the upstream's kind");
     }
   }
   failure_domains_.insert(upstream.failure_domain);
@@ -207,8 +210,8 @@
     reader.Report("credential_sha256",
                   "must be 64 lower-case hexadecimal digits");
   }
-  // Two workspaces with one credential could not be told apart: one would
-  // read the other's cache. It would show as a caller in the wrong workspace.
+  // Two workspaces with the same credential could not be distinguished: callers
+  // of one would be counted for the other and would read its cache.
   if (is_digest && !credentials_.insert(digest).second) {
     reader.Report("credential_sha256", "is another workspace's credential");
   }
--- a/lib/Config/document_diff.cc
+++ b/lib/Config/document_diff.cc
@@ -9,15 +9,15 @@
 namespace cuminswitch {
 namespace {
 
-/// Each item's canonical text by its place.
+/// The canonical text of each item by its place: kind and name.
 using item_map = std::map<std::string, std::string>;
 
 std::string Quote(std::string_view kind, std::string_view name) {
   return std::string(kind) + " \"" + std::string(name) + "\"";
 }
 
-/// Adds to \p items the text that \p one, a configuration with one item more
-/// than an empty one, has over the empty one.
+/// Adds to \p items the text of the only item of \p one, without the text that
+/// an empty configuration has as well.
 void AddItem(std::string place, const configuration& one, item_map& items) {
   static const std::string empty = WriteDocument(configuration());
   items[std::move(place)] = WriteDocument(one).substr(empty.size());
--- a/lib/Config/toml_reader.cc
+++ b/lib/Config/toml_reader.cc
@@ -14,15 +14,15 @@
 
 void toml_reader::Report(std::string_view key, std::string message) {
   const toml::node* node = key.empty() ? nullptr : table_.get(key);
-  const toml::source_position place =
+  const toml::source_position position =
       node != nullptr ? node->source().begin : table_.source().begin;
   std::string path = path_;
   if (!key.empty()) {
     path += path.empty() ? std::string(key) : "." + std::string(key);
   }
   findings_.push_back({.place = {.file = std::string(file_),
-                                 .line = place.line,
-                                 .column = place.column,
+                                 .line = position.line,
+                                 .column = position.column,
                                  .path = std::move(path)},
                        .message = std::move(message)});
 }
@@ -102,7 +102,7 @@
   for (const toml::node& item : *items) {
     const auto* value = item.as_string();
     if (value == nullptr || value->get().empty()) {
-      Report(key, "must hold only strings that are not empty");
+      Report(key, "must contain only non-empty strings");
       return result;
     }
     result.push_back(value->get());
--- a/unittests/Config/document_test.cc
+++ b/unittests/Config/document_test.cc
@@ -53,7 +53,7 @@
   });
 }
 
-TEST(DocumentTest, GoodDocumentHasNoFindings) {
+TEST(DocumentTest, ParsesAValidDocument) {
   const configuration config = ParseDocument(MakeDocument(), "doc.toml");
   ASSERT_NE(config.FindModel("m"), nullptr);
   EXPECT_EQ(config.FindModel("m")->version, "1");
@@ -62,7 +62,7 @@
   EXPECT_EQ(config.FindWorkspace("other"), nullptr);
 }
 
-TEST(DocumentTest, AllFindingsAreReportedTogetherWithTheirPlace) {
+TEST(DocumentTest, ReportsAllFindingsWithTheirLocations) {
   std::string text = MakeDocument();
   text += R"([[workspace]]
 name = "w"
@@ -92,13 +92,13 @@
   }
 }
 
-TEST(DocumentTest, SyntaxErrorNamesItsPlace) {
+TEST(DocumentTest, ReportsTheLineOfASyntaxError) {
   const std::vector<finding> findings = FindingsOf("format = 1\n[platform\n");
   ASSERT_EQ(findings.size(), 1U);
   EXPECT_EQ(findings[0].place.line, 2U);
 }
 
-TEST(DocumentTest, TwoWorkspacesMayNotShareACredential) {
+TEST(DocumentTest, RejectsACredentialSharedByTwoWorkspaces) {
   std::string text = MakeDocument();
   text +=
       "[[workspace]]\nname = \"v\"\nuses = [\"m\"]\ncredential_sha256 = \"" +
@@ -107,7 +107,7 @@
                          "another workspace's"));
 }
 
-TEST(DocumentTest, CanonicalTextReadsBackTheSame) {
+TEST(DocumentTest, ParsesCanonicalTextToTheSameConfiguration) {
   const configuration config = ParseDocument(MakeDocument(), "doc.toml");
   const std::string text = WriteDocument(config);
   EXPECT_EQ(WriteDocument(ParseDocument(text, "again")), text);
@@ -125,7 +125,7 @@
   return config;
 }
 
-TEST(DocumentTest, ChangeToOneWorkspaceChangesOneChunk) {
+TEST(DocumentTest, ChangesOneChunkForAChangeToOneWorkspace) {
   configuration config = MakeLargeConfiguration(8700);
   const std::vector<std::string> before = WriteChunks(config);
   config.workspaces[4000].max_in_flight = 7;
@@ -134,12 +134,13 @@
   size_t changed = 0;
   for (size_t i = 0; i < before.size(); ++i) {
     changed += before[i] != after[i] ? 1 : 0;
-    EXPECT_LT(after[i].size(), 1U << 20) << "a value of the platform";
+    EXPECT_LT(after[i].size(), 1U << 20)
+        << "larger than a value in the platform may be";
   }
   EXPECT_EQ(changed, 1U);
 }
 
-TEST(DocumentTest, ChunksJoinToTheWholeDocument) {
+TEST(DocumentTest, MergesChunksToTheWholeDocument) {
   const configuration config = MakeLargeConfiguration(300);
   std::vector<configuration> fragments;
   for (const std::string& chunk : WriteChunks(config)) {
@@ -153,7 +154,7 @@
   EXPECT_EQ(WriteDocument(MergeFragments(pointers)), WriteDocument(config));
 }
 
-TEST(DocumentDiffTest, NamesEachPlaceThatDiffers) {
+TEST(DocumentDiffTest, ReportsEachItemThatDiffers) {
   const configuration before = ParseDocument(MakeDocument(), "doc.toml");
   configuration after = before;
   after.workspaces[0].max_in_flight = 3;
@@ -166,7 +167,7 @@
   EXPECT_EQ(changes[1].place, "workspace \"w\"");
 }
 
-TEST(DocumentDiffTest, OnlyPlacesThatBothChangedDifferentlyConflict) {
+TEST(DocumentDiffTest, ReportsConflictsOnlyForItemsThatBothChangedDifferently) {
   const configuration base = MakeLargeConfiguration(3);
   configuration mine = base;
   configuration theirs = base;
