--- a/include/cuminswitch/Log/event_log.h
+++ b/include/cuminswitch/Log/event_log.h
@@ -19,7 +19,7 @@
   /// A decision about one request. Also bounded by a number of lines a second.
   kRequest,
   /// A change of the process's view of peers, upstreams or configuration.
-  kBelief,
+  kStateChange,
   /// Start, stop, reload, an error, or a dependency lost or regained.
   kLifecycle,
 };
--- a/include/cuminswitch/Log/list_changes.h
+++ b/include/cuminswitch/Log/list_changes.h
@@ -35,7 +35,7 @@
   /// Moves the changes since the last line into \p line and returns true.
   /// Returns false and leaves \p line as it is when nothing changed or the last
   /// line is less than `kInterval` ago.
-  bool TakeInto(time_point now, log_line& line);
+  bool DrainInto(time_point now, log_line& line);
 
  private:
   /// Items in the list now.
--- a/lib/Edge/edge_knowledge.cc
+++ b/lib/Edge/edge_knowledge.cc
@@ -20,11 +20,12 @@
   // may have run.
   pool_.Forget(change.before->address);
   ForgetLimit(change.id);
-  with_.log.Write(log_class::kBelief, log_line("upstream_restarted")
-                                          .Add("upstream", change.id)
-                                          .Add("started", change.after->started)
-                                          .Add("before", change.before->started)
-                                          .Add("revision", revision));
+  with_.log.Write(log_class::kStateChange,
+                  log_line("upstream_restarted")
+                      .Add("upstream", change.id)
+                      .Add("started", change.after->started)
+                      .Add("before", change.before->started)
+                      .Add("revision", revision));
 }
 
 void edge_task::IndexAddress(const upstream_change& change) {
--- a/lib/Edge/edge_limits.cc
+++ b/lib/Edge/edge_limits.cc
@@ -46,7 +46,7 @@
     line.Add("requests_per_s", *rate)
         .Add("age_ms", limits.Age(ReadBootClock(), upstream));
   }
-  with_.log.Write(log_class::kBelief, line);
+  with_.log.Write(log_class::kStateChange, line);
 }
 
 void edge_task::Take(const peer_limits& news) {
--- a/lib/Edge/edge_notices.cc
+++ b/lib/Edge/edge_notices.cc
@@ -37,7 +37,7 @@
 void edge_task::TakeLimit(const request_flow& flow,
                           const limit_notice& notice) {
   if (notice.kind == notice_kind::kUnreadable) {
-    with_.log.Write(log_class::kBelief,
+    with_.log.Write(log_class::kStateChange,
                     DescribeNotice("limit_unreadable", flow));
     return;
   }
@@ -48,19 +48,20 @@
 
 void edge_task::TakeRest(const request_flow& flow, const rest_notice& notice) {
   if (notice.kind == notice_kind::kUnreadable) {
-    with_.log.Write(log_class::kBelief,
+    with_.log.Write(log_class::kStateChange,
                     DescribeNotice("rest_unreadable", flow));
     return;
   }
   router_.OnRestAsked(ReadBootClock(), flow.attempt(), notice.time);
   with_.log.Write(
-      log_class::kBelief,
+      log_class::kStateChange,
       DescribeNotice("rest_asked", flow).Add("rest_ms", notice.time));
 }
 
 void edge_task::TakeLeaving(const request_flow& flow) {
   if (router_.OnLeavingSaid(flow.attempt())) {
-    with_.log.Write(log_class::kBelief, DescribeNotice("leaving_said", flow));
+    with_.log.Write(log_class::kStateChange,
+                    DescribeNotice("leaving_said", flow));
   }
 }
 
--- a/lib/Edge/edge_quarantine.cc
+++ b/lib/Edge/edge_quarantine.cc
@@ -55,7 +55,7 @@
 
 void edge_task::LogQuarantines() {
   for (const quarantine_event& item : router_.quarantine().TakeEvents()) {
-    with_.log.Write(log_class::kBelief,
+    with_.log.Write(log_class::kStateChange,
                     log_line(EventName(item.what))
                         .Add("digest", ToHex(item.request))
                         .Add("crashes", item.crashes)
--- a/lib/Edge/edge_task.cc
+++ b/lib/Edge/edge_task.cc
@@ -302,7 +302,7 @@
   kept_engines_ = keeps_engines;
   const prompt_mix own = router_.OwnMix(ReadBootClock());
   with_.log.Write(
-      log_class::kBelief,
+      log_class::kStateChange,
       log_line(keeps_engines ? "engines_kept" : "engines_shared")
           .Add("short_percent",
                static_cast<int64_t>(router_.short_part() * kPercent))
--- a/lib/Fleet/fleet_publishing.cc
+++ b/lib/Fleet/fleet_publishing.cc
@@ -67,7 +67,7 @@
   if (std::exchange(is_stale_, is_stale) == is_stale) {
     return;
   }
-  with_.log.Write(log_class::kBelief,
+  with_.log.Write(log_class::kStateChange,
                   log_line(is_stale ? "items_stale" : "items_current")
                       .Add("staleness_ms", staleness)
                       .Add("revision", feed_.view().revision())
@@ -105,7 +105,7 @@
     weights += (weights.empty() ? "" : " ") + item.model + "=" +
                std::to_string(item.version);
   }
-  log.Write(log_class::kBelief,
+  log.Write(log_class::kStateChange,
             log_line("knowledge_changed")
                 .Add("revision", knowledge.revision)
                 .Add("configuration",
@@ -117,14 +117,15 @@
 void fleet_task::LogSuspicions() {
   const std::vector<std::string> suspected = roster_.TakeSuspected();
   if (!suspected.empty()) {
-    with_.log.Write(log_class::kBelief, log_line("peers_suspected")
-                                            .Add("count", suspected.size())
-                                            .Add("first", suspected.front()));
+    with_.log.Write(log_class::kStateChange,
+                    log_line("peers_suspected")
+                        .Add("count", suspected.size())
+                        .Add("first", suspected.front()));
   }
   const uint32_t version = roster_.self_version();
   if (version != logged_version_) {
     logged_version_ = version;
-    with_.log.Write(log_class::kBelief,
+    with_.log.Write(log_class::kStateChange,
                     log_line("own_record_renewed")
                         .Add("version", version)
                         .Add("ready", options_.self.is_ready)
@@ -134,19 +135,19 @@
 
 void fleet_task::LogListChanges(time_point now) {
   log_line peers("peers_changed");
-  if (peer_changes_.TakeInto(now, peers)) {
-    with_.log.Write(log_class::kBelief, peers);
+  if (peer_changes_.DrainInto(now, peers)) {
+    with_.log.Write(log_class::kStateChange, peers);
   }
   log_line upstreams("upstreams_changed");
   upstreams.Add("revision", feed_.view().revision());
-  if (upstream_changes_.TakeInto(now, upstreams)) {
-    with_.log.Write(log_class::kBelief, upstreams);
+  if (upstream_changes_.DrainInto(now, upstreams)) {
+    with_.log.Write(log_class::kStateChange, upstreams);
   }
   log_line kept("upstreams_kept");
   kept.Add("revision", feed_.view().revision())
       .Add("awaited_return", logged_return_);
-  if (kept_changes_.TakeInto(now, kept)) {
-    with_.log.Write(log_class::kBelief, kept);
+  if (kept_changes_.DrainInto(now, kept)) {
+    with_.log.Write(log_class::kStateChange, kept);
   }
 }
 
@@ -156,7 +157,7 @@
       std::exchange(logged_return_, awaited.event) == awaited.event) {
     return;
   }
-  with_.log.Write(log_class::kBelief,
+  with_.log.Write(log_class::kStateChange,
                   log_line("entries_awaited")
                       .Add("return", awaited.event)
                       .Add("left_ms", awaited.left)
--- a/lib/Fleet/fleet_task.cc
+++ b/lib/Fleet/fleet_task.cc
@@ -266,7 +266,7 @@
   }
   const revision_number revision = feed_.view().revision();
   if (questions_.IsWaiting()) {
-    with_.log.Write(log_class::kBelief,
+    with_.log.Write(log_class::kStateChange,
                     log_line("question_unanswered")
                         .Add("peer", questions_.peer())
                         .Add("after_ms", now - questions_.asked_at()));
@@ -379,7 +379,7 @@
     rollout_.OnOrderEnd(ReadBootClock(), step.upstream, order_end::kConflict);
     return;
   }
-  with_.log.Write(log_class::kBelief,
+  with_.log.Write(log_class::kStateChange,
                   log_line("order_sent")
                       .Add("upstream", step.upstream)
                       .Add("model", step.order->weights.model)
@@ -387,9 +387,9 @@
                       .Add("accepted_orders", step.order->accepted_orders)
                       .Add("fence", election_.fence()));
   with_.engines.Order(step, election_.fence(), [this, step](order_end end) {
-    with_.log.Write(log_class::kBelief, log_line("order_ended")
-                                            .Add("upstream", step.upstream)
-                                            .Add("end", ToString(end)));
+    with_.log.Write(log_class::kStateChange, log_line("order_ended")
+                                                 .Add("upstream", step.upstream)
+                                                 .Add("end", ToString(end)));
     rollout_.OnOrderEnd(ReadBootClock(), step.upstream, end);
   });
 }
--- a/lib/Fleet/item_feed.cc
+++ b/lib/Fleet/item_feed.cc
@@ -42,9 +42,9 @@
 
 void item_feed::SetFollowing(bool follows) {
   if (std::exchange(is_following_, follows) != follows) {
-    log_.Write(log_class::kBelief, log_line("store_following")
-                                       .Add("follows", follows)
-                                       .Add("revision", view_.revision()));
+    log_.Write(log_class::kStateChange, log_line("store_following")
+                                            .Add("follows", follows)
+                                            .Add("revision", view_.revision()));
   }
   if (follows && !is_busy_) {
     Next();
@@ -84,7 +84,7 @@
 void item_feed::OnItems(bool is_complete, const store_items& answer) {
   if (answer.end == store_end::kHistoryGone) {
     must_read_all_ = true;
-    log_.Write(log_class::kBelief,
+    log_.Write(log_class::kStateChange,
                log_line("store_history_gone").Add("after", view_.revision()));
     timer_.Start(duration(0));
     return;
@@ -150,12 +150,12 @@
   if (changed.empty()) {
     return;
   }
-  log_.Write(log_class::kBelief, log_line("items_from_peer")
-                                     .Add("peer", asked.peer)
-                                     .Add("took_ms", asked.took)
-                                     .Add("before", before)
-                                     .Add("revision", reply.revision)
-                                     .Add("items", reply.items.size()));
+  log_.Write(log_class::kStateChange, log_line("items_from_peer")
+                                          .Add("peer", asked.peer)
+                                          .Add("took_ms", asked.took)
+                                          .Add("before", before)
+                                          .Add("revision", reply.revision)
+                                          .Add("items", reply.items.size()));
   handlers_.on_change(changed);
 }
 
--- a/lib/Log/list_changes.cc
+++ b/lib/Log/list_changes.cc
@@ -42,7 +42,7 @@
   }
 }
 
-bool list_changes::TakeInto(time_point now, log_line& line) {
+bool list_changes::DrainInto(time_point now, log_line& line) {
   const bool is_due =
       last_line_at_ == time_point() || now - last_line_at_ >= kInterval;
   if (!is_due || (added_.empty() && removed_.empty())) {
--- a/unittests/Log/event_log_test.cc
+++ b/unittests/Log/event_log_test.cc
@@ -89,7 +89,7 @@
   event_log log({.descriptor = ends_[1], .max_request_lines = 10});
   for (int i = 0; i < 30; ++i) {
     log.Write(log_class::kRequest, log_line("routine"));
-    log.Write(log_class::kBelief, log_line("state_change"));
+    log.Write(log_class::kStateChange, log_line("state_change"));
   }
   // A new second, with a new budget, may have begun in between.
   EXPECT_GE(log.dropped_count(), 10U);
--- a/unittests/Log/list_changes_test.cc
+++ b/unittests/Log/list_changes_test.cc
@@ -50,8 +50,8 @@
     Replace(changes, before, items);
     before = std::move(items);
     log_line line("peers_changed");
-    if (changes.TakeInto(kStart + std::chrono::seconds(60) * step / steps,
-                         line)) {
+    if (changes.DrainInto(kStart + std::chrono::seconds(60) * step / steps,
+                          line)) {
       bytes += line.text().size();
     }
   }
@@ -82,12 +82,12 @@
   list_changes changes;
   Replace(changes, {}, {"b", "a"});
   log_line first("x");
-  ASSERT_TRUE(changes.TakeInto(kStart, first));
+  ASSERT_TRUE(changes.DrainInto(kStart, first));
   Replace(changes, {"b", "a"}, {"a", "c"});
   log_line early("x");
-  EXPECT_FALSE(changes.TakeInto(kStart, early));
+  EXPECT_FALSE(changes.DrainInto(kStart, early));
   log_line next("x");
-  ASSERT_TRUE(changes.TakeInto(kStart + list_changes::kInterval, next));
+  ASSERT_TRUE(changes.DrainInto(kStart + list_changes::kInterval, next));
   const auto line = nlohmann::json::parse(next.text() + "}");
   EXPECT_EQ(line.at("count"), 2);
   EXPECT_EQ(line.at("added_items"), "c");
@@ -98,18 +98,18 @@
   list_changes changes;
   Replace(changes, {}, {"a"});
   log_line first("x");
-  ASSERT_TRUE(changes.TakeInto(kStart, first));
+  ASSERT_TRUE(changes.DrainInto(kStart, first));
   Replace(changes, {"a"}, {"a", "b"});
   Replace(changes, {"a", "b"}, {"a"});
   log_line next("x");
-  EXPECT_FALSE(changes.TakeInto(kStart + list_changes::kInterval, next));
+  EXPECT_FALSE(changes.DrainInto(kStart + list_changes::kInterval, next));
 }
 
 TEST(list_changes_test, CountsAllChangesButListsABoundedNumber) {
   list_changes changes;
   Replace(changes, {}, MakeFleet(300));
   log_line line("x");
-  ASSERT_TRUE(changes.TakeInto(kStart, line));
+  ASSERT_TRUE(changes.DrainInto(kStart, line));
   const auto fields = nlohmann::json::parse(line.text() + "}");
   EXPECT_EQ(fields.at("added"), 300);
   const auto names = fields.at("added_items").get<std::string>();
