--- a/include/cuminswitch/Config/configuration.h
+++ b/include/cuminswitch/Config/configuration.h
@@ -17,7 +17,7 @@
 enum class priority_class : uint8_t { kInteractive, kStandard, kBatch };
 inline constexpr size_t kPriorityClasses = 3;
 
-/// The cost that routing minimizes first when it places requests.
+/// The cost that has the greatest weight in routing.
 enum class routing_objective : uint8_t {
   /// Tail latency of the first token.
   kFirstToken,
@@ -81,7 +81,7 @@
   std::string failure_domain;
   /// Names of the models (engine) or services (service) it serves.
   std::vector<std::string> serves;
-  /// Maximum number of concurrent requests.
+  /// Maximum number of concurrent requests from all daemons.
   uint32_t max_in_flight = 16;
   /// Whether it refuses requests with an outdated fencing token.
   bool checks_fencing = false;
@@ -97,7 +97,7 @@
   priority_class priority = priority_class::kStandard;
   /// Names of the models and services it may use.
   std::vector<std::string> uses;
-  /// Maximum number of concurrent requests.
+  /// Maximum number of concurrent requests to all daemons.
   uint32_t max_in_flight = 64;
 };
 
--- a/include/cuminswitch/Kernel/kernel.h
+++ b/include/cuminswitch/Kernel/kernel.h
@@ -35,7 +35,7 @@
     auto* port = dynamic_cast<message_port<Message>*>(&Find(name));
     if (port == nullptr) {
       throw std::logic_error("service " + std::string(name) +
-                             " does not accept messages of this type");
+                             " accepts no message of this type");
     }
     return *port;
   }
--- a/include/cuminswitch/Metrics/latency_histogram.h
+++ b/include/cuminswitch/Metrics/latency_histogram.h
@@ -29,8 +29,8 @@
   void Merge(const latency_histogram& other);
   uint64_t Count() const { return count_; }
   double SumSeconds() const { return sum_; }
-  /// Returns the upper bound in seconds of the bin that holds quantile \p
-  /// share, which is in (0, 1]; 0 when the histogram is empty.
+  /// Returns the upper bound in seconds of the bin that holds the quantile
+  /// \p share, which is in (0, 1]; 0 when the histogram is empty.
   double Quantile(double share) const;
   /// Returns all bins with cumulative counts, in ascending order.
   std::vector<cumulative_bin> CumulativeBins() const;
--- a/lib/Config/document.cc
+++ b/lib/Config/document.cc
@@ -210,8 +210,8 @@
     reader.Report("credential_sha256",
                   "must be 64 lower-case hexadecimal digits");
   }
-  // Two workspaces with the same credential could not be distinguished: callers
-  // of one would be counted for the other and would read its cache.
+  // Two workspaces with the same credential could not be distinguished: a
+  // caller would be assigned to the wrong one and would read its cache.
   if (is_digest && !credentials_.insert(digest).second) {
     reader.Report("credential_sha256", "is another workspace's credential");
   }
--- a/lib/Kernel/event_thread.cc
+++ b/lib/Kernel/event_thread.cc
@@ -57,8 +57,8 @@
 }
 
 void event_thread::Run() {
-  // `Stop` may be called before the loop runs; libevent ignores a loop break
-  // then, so that the flag is checked as well.
+  // `Stop` may be called before the loop starts. libevent then discards the
+  // loop break, and only the flag ends the loop.
   while (!stopping_) {
     event_base_loop(base_, EVLOOP_NO_EXIT_ON_EMPTY);
   }
