--- a/tools/cuminctl/command.h
+++ b/tools/cuminctl/command.h
@@ -8,7 +8,7 @@
 
 namespace cuminswitch {
 
-/// Exit codes; docs/REFERENCE.md lists them.
+/// Exit codes, documented in docs/REFERENCE.md.
 enum exit_code : int {
   kSuccess = 0,
   kFailed = 1,
@@ -31,7 +31,7 @@
 int RunExplain(const argument_list& arguments);
 int RunHash(const argument_list& arguments);
 
-/// Reads a file; throws `usage_error` when it cannot be read.
+/// Returns the contents of a file. Throws `usage_error` when it cannot be read.
 std::string ReadFile(const std::string& path);
 
 }  // namespace cuminswitch
--- a/tools/cuminctl/configuration_commands.cc
+++ b/tools/cuminctl/configuration_commands.cc
@@ -1,4 +1,4 @@
-// Commands on the configuration document.
+// The commands that check, compare, submit and print configurations.
 #include <unistd.h>
 
 #include <chrono>
@@ -20,8 +20,8 @@
 namespace {
 
 constexpr const char* kPlatformHelp = "The platform service's address:port";
-/// `show` writes this before the document, so that `submit` knows what the
-/// operator started from.
+/// The prefix of the first line that `show` prints, which `submit` reads to
+/// find the generation that the document is based on.
 constexpr std::string_view kGenerationComment = "# generation ";
 
 platform_client::options MakePlatformOptions(const std::string& address) {
@@ -32,9 +32,9 @@
   return {.address = *parsed};
 }
 
-std::string TheOneFile(const argument_list& rest) {
+std::string GetSingleFile(const argument_list& rest) {
   if (rest.size() != 1) {
-    throw usage_error("exactly one document is needed");
+    throw usage_error("exactly one document is required");
   }
   return rest.front();
 }
@@ -99,16 +99,17 @@
       std::cout << "accepted as generation " << answer.generation << "\n";
       return kSuccess;
     case submission_result::kConflict:
-      std::cout << "not accepted: generation " << answer.generation
-                << " is in force, which is not the base of this document\n";
+      std::cout << "not accepted: the current generation is "
+                << answer.generation
+                << ", which is not the base of this document\n";
       if (answer.conflicts.empty()) {
-        std::cout << "the changes do not touch each other\n";
+        std::cout << "the changes affect different items\n";
       }
       PrintChanges(answer.conflicts, "  theirs: ", "  yours:  ");
       return kConflict;
     case submission_result::kUnknown:
-      std::cout << "the platform did not say whether it was accepted; "
-                   "submit it again with the same base\n";
+      std::cout << "the platform did not confirm the submission; submit the "
+                   "document again with the same base\n";
       return kUnknownOutcome;
   }
   return kFailed;
@@ -120,7 +121,7 @@
   bool json = false;
   option_parser parser("cuminctl check", "[OPTION...] DOCUMENT.toml");
   parser.AddFlag("json", json, "Print the findings as JSON");
-  const std::string file = TheOneFile(parser.Parse(arguments));
+  const std::string file = GetSingleFile(parser.Parse(arguments));
   try {
     ParseDocument(ReadFile(file), file);
   } catch (const findings_error& error) {
@@ -144,12 +145,12 @@
   option_parser parser("cuminctl diff", "[OPTION...] DOCUMENT.toml");
   parser.AddString("platform", platform, kPlatformHelp, "ADDRESS");
   parser.AddFlag("json", json, "Print the difference as JSON");
-  const std::string file = TheOneFile(parser.Parse(arguments));
-  const configuration wanted = ParseDocument(ReadFile(file), file);
+  const std::string file = GetSingleFile(parser.Parse(arguments));
+  const configuration proposed = ParseDocument(ReadFile(file), file);
   blocking_platform store(MakePlatformOptions(platform));
   const stored_configuration current = configuration_store(store).Fetch();
   const std::vector<document_change> changes =
-      DiffConfigurations(current.config, wanted);
+      DiffConfigurations(current.config, proposed);
   if (json) {
     std::cout << ToJson(changes).dump(2) << "\n";
   } else {
@@ -165,20 +166,20 @@
   option_parser parser("cuminctl submit", "[OPTION...] DOCUMENT.toml");
   parser.AddString("platform", platform, kPlatformHelp, "ADDRESS");
   parser.AddInteger("base", base,
-                    "Generation that the document was made from; by default "
+                    "Generation that the document is based on; by default "
                     "the one that `show` wrote into it, or 0");
   parser.AddString("submission", submission,
-                   "A name for this submission; the same one again is not "
-                   "accepted twice");
-  const std::string file = TheOneFile(parser.Parse(arguments));
+                   "Identifier of this submission; a retry with the same "
+                   "identifier is not accepted twice");
+  const std::string file = GetSingleFile(parser.Parse(arguments));
   const std::string text = ReadFile(file);
-  const configuration wanted = ParseDocument(text, file);
+  const configuration proposed = ParseDocument(text, file);
   if (submission.empty()) {
     submission = MakeSubmissionId(text);
   }
   blocking_platform store(MakePlatformOptions(platform));
   return PrintSubmission(configuration_store(store).Submit(
-      wanted, ReadBase(text, base), submission));
+      proposed, ReadBase(text, base), submission));
 }
 
 int RunShow(const argument_list& arguments) {
@@ -186,7 +187,7 @@
   int generation = -1;
   option_parser parser("cuminctl show", "[OPTION...]");
   parser.AddString("platform", platform, kPlatformHelp, "ADDRESS");
-  parser.AddInteger("generation", generation, "An earlier generation");
+  parser.AddInteger("generation", generation, "Print this earlier generation");
   if (!parser.Parse(arguments).empty()) {
     throw usage_error("show takes no arguments");
   }
@@ -197,7 +198,7 @@
           ? store.Fetch()
           : store.FetchGeneration(static_cast<generation_number>(generation));
   if (stored.generation == 0) {
-    std::cerr << "cuminctl: no configuration was accepted yet\n";
+    std::cerr << "cuminctl: no configuration has been accepted yet\n";
     return kFailed;
   }
   std::cout << kGenerationComment << stored.generation << "\n"
@@ -209,7 +210,7 @@
   option_parser parser("cuminctl hash", "CREDENTIAL");
   const argument_list rest = parser.Parse(arguments);
   if (rest.size() != 1) {
-    throw usage_error("exactly one credential is needed");
+    throw usage_error("exactly one credential is required");
   }
   std::cout << Sha256Hex(rest.front()) << "\n";
   return kSuccess;
--- a/tools/cuminctl/cuminctl.cc
+++ b/tools/cuminctl/cuminctl.cc
@@ -1,4 +1,4 @@
-// The operators' command line.
+// The command line for operators: dispatches to the commands.
 #include <signal.h>
 
 #include <exception>
@@ -30,15 +30,18 @@
 
 constexpr command kCommands[] = {
     {"check", "Check a document and report every finding", &RunCheck},
-    {"diff", "Compare a document with the one in force", &RunDiff},
-    {"submit", "Put a document into force", &RunSubmit},
-    {"show", "Print the document in force", &RunShow},
-    {"status", "Print what daemons see", &RunStatus},
-    {"addresses", "Ask a daemon which hosts a workspace should use",
+    {"diff", "Compare a document with the current configuration", &RunDiff},
+    {"submit", "Submit a document as the next configuration", &RunSubmit},
+    {"show", "Print the current configuration as a document", &RunShow},
+    {"status", "Print the status of daemons, members and upstreams",
+     &RunStatus},
+    {"addresses", "Print the hosts that a daemon advertises to a workspace",
      &RunAddresses},
-    {"report", "Print how fast the error budgets burn", &RunReport},
-    {"explain", "Tell a request's story out of log files", &RunExplain},
-    {"hash", "Print the digest of a credential, for a document", &RunHash},
+    {"report", "Print the burn rates of the error budgets", &RunReport},
+    {"explain", "Print the log lines that explain the outcome of a request",
+     &RunExplain},
+    {"hash", "Print the digest of a credential for use in a document",
+     &RunHash},
 };
 
 void PrintUsage(std::ostream& out) {
--- a/tools/cuminctl/daemon_commands.cc
+++ b/tools/cuminctl/daemon_commands.cc
@@ -1,4 +1,4 @@
-// Commands that ask daemons.
+// The commands that query daemons over HTTP.
 #include <chrono>
 #include <iostream>
 #include <nlohmann/json.hpp>
@@ -33,7 +33,7 @@
   }
   const blocking_response response = FetchBlocking(call);
   if (response.end != http_end::kComplete) {
-    throw std::runtime_error(address + ": does not answer");
+    throw std::runtime_error(address + ": no complete response");
   }
   if (response.head.status != status_code::kOk) {
     throw std::runtime_error(address + ": status " +
@@ -69,10 +69,11 @@
   bool json = false;
   option_parser parser("cuminctl status", "[OPTION...] ADDRESS...");
   parser.AddString("credential", credential, "The operators' credential");
-  parser.AddFlag("json", json, "Print the daemons' answers as they are");
+  parser.AddFlag("json", json,
+                 "Print the responses of the daemons as they are");
   const argument_list addresses = parser.Parse(arguments);
   if (addresses.empty()) {
-    throw usage_error("at least one daemon's address:port is needed");
+    throw usage_error("at least one daemon's address:port is required");
   }
   int result = kSuccess;
   for (const std::string& address : addresses) {
@@ -100,18 +101,19 @@
   bool json = false;
   option_parser parser("cuminctl report", "[OPTION...] ADDRESS...");
   parser.AddString("credential", credential, "The operators' credential");
-  parser.AddString("platform", platform,
-                   "The platform service, for the objectives", "ADDRESS");
+  parser.AddString(
+      "platform", platform,
+      "Address of the platform service, which holds the objectives", "ADDRESS");
   parser.AddInteger("seconds", seconds,
-                    "Length of the short window; the long one is since the "
-                    "daemons' start");
+                    "Length of the short window in seconds; the long window "
+                    "begins at the start of the daemons");
   parser.AddFlag("json", json, "Print the report as JSON");
   const argument_list addresses = parser.Parse(arguments);
   const std::optional<endpoint> platform_address = ParseEndpoint(platform);
   if (addresses.empty() || !platform_address || seconds < 0) {
     throw usage_error(
-        "--platform, a positive --seconds and at least one "
-        "daemon's address:port are needed");
+        "--platform, a --seconds of at least 0 and at least one "
+        "daemon's address:port are required");
   }
   blocking_platform platform_access({.address = *platform_address});
   const platform_spec objectives =
@@ -136,7 +138,7 @@
   parser.AddString("credential", credential, "The workspace's credential");
   const argument_list rest = parser.Parse(arguments);
   if (rest.size() != 1) {
-    throw usage_error("exactly one daemon's address:port is needed");
+    throw usage_error("exactly one daemon's address:port is required");
   }
   std::cout << Fetch(rest.front(), "/v1/addresses", credential);
   return kSuccess;
--- a/tools/cuminctl/explain_command.cc
+++ b/tools/cuminctl/explain_command.cc
@@ -1,4 +1,4 @@
-// Tells a request's story out of daemons' log files.
+// Prints the lines of daemons' logs that explain the outcome of a request.
 #include <algorithm>
 #include <iostream>
 #include <nlohmann/json.hpp>
@@ -12,8 +12,8 @@
 namespace cuminswitch {
 namespace {
 
-/// How long before a request's first line the changes of what its daemon
-/// believed are shown; bounds of the platform are 2 to 6 s.
+/// State changes are shown from this long before the first line of the request:
+/// the platform's time bounds for their propagation are 2 to 6 s.
 constexpr int64_t kContextMs = 6000;
 
 struct log_entry {
@@ -23,8 +23,8 @@
   nlohmann::json fields;
 };
 
-/// Reads the lines that are JSON with a time and an event; others, such as a
-/// library's, are passed over.
+/// Reads the lines that are JSON with a time and an event. Others, such as
+/// those of libraries, are ignored.
 std::vector<log_entry> ReadLog(const std::string& path) {
   std::vector<log_entry> entries;
   std::istringstream lines(ReadFile(path));
@@ -42,11 +42,12 @@
   return entries;
 }
 
-bool IsAbout(const log_entry& entry, const std::string& id) {
+bool HasRequestId(const log_entry& entry, const std::string& id) {
   return entry.fields.value("id", std::string()) == id;
 }
 
-/// Changes of what the daemon believed that may explain the request's end.
+/// Whether the line is not about a request, but from the time of the request:
+/// a state change that may explain its outcome.
 bool IsContext(const log_entry& entry, int64_t from, int64_t to) {
   return !entry.fields.contains("id") && entry.time_ms >= from - kContextMs &&
          entry.time_ms <= to;
@@ -65,19 +66,21 @@
   std::cout << "\n";
 }
 
-/// Prints one file's part of the story; returns whether it has one.
+/// Prints the lines of one file that explain the request. Returns whether the
+/// file has any.
 bool Explain(const std::vector<log_entry>& entries, const std::string& id) {
-  const auto is_about = [&](const log_entry& item) {
-    return IsAbout(item, id);
+  const auto has_id = [&](const log_entry& item) {
+    return HasRequestId(item, id);
   };
-  const auto first = std::find_if(entries.begin(), entries.end(), is_about);
+  const auto first = std::find_if(entries.begin(), entries.end(), has_id);
   if (first == entries.end()) {
     return false;
   }
-  const auto last = std::find_if(entries.rbegin(), entries.rend(), is_about);
+  const auto last = std::find_if(entries.rbegin(), entries.rend(), has_id);
   std::cout << first->file << "\n";
   for (const log_entry& item : entries) {
-    if (IsAbout(item, id) || IsContext(item, first->time_ms, last->time_ms)) {
+    if (HasRequestId(item, id) ||
+        IsContext(item, first->time_ms, last->time_ms)) {
       Print(item, first->time_ms);
     }
   }
@@ -90,7 +93,7 @@
   option_parser parser("cuminctl explain", "ID LOGFILE...");
   const std::vector<std::string> rest = parser.Parse(arguments);
   if (rest.size() < 2) {
-    throw usage_error("a request's id and log files are needed");
+    throw usage_error("a request's id and at least one log file are required");
   }
   bool is_found = false;
   for (size_t i = 1; i < rest.size(); ++i) {
--- a/tools/cuminswitchd/cuminswitchd.cc
+++ b/tools/cuminswitchd/cuminswitchd.cc
@@ -1,5 +1,5 @@
-// The daemon of an entry host: reads its settings, runs, and stops gracefully
-// on SIGTERM or SIGINT.
+// The daemon of a host: reads its settings, runs, and stops gracefully on
+// SIGTERM or SIGINT.
 #include <glog/logging.h>
 #include <signal.h>
 
@@ -22,7 +22,7 @@
 
 enum exit_code : int {
   kSuccess = 0,
-  kCannotRun = 1,
+  kFailed = 1,
   kBadUsage = 2,
   kBadSettings = 3,
 };
@@ -37,8 +37,8 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-/// Waits for SIGTERM or SIGINT, or for the kernel's notice of a complete
-/// graceful stop, which comes as SIGUSR1 to this thread.
+/// Waits for SIGTERM or SIGINT, or for SIGUSR1, which the daemon sends to this
+/// thread when its graceful stop is complete.
 class signal_waiter {
  public:
   signal_waiter() {
@@ -46,7 +46,8 @@
     sigaddset(&signals_, SIGTERM);
     sigaddset(&signals_, SIGINT);
     sigaddset(&signals_, SIGUSR1);
-    // Before any other thread starts, so that all of them inherit it.
+    // Blocked before any other thread starts, so that all threads inherit the
+    // mask.
     pthread_sigmask(SIG_BLOCK, &signals_, nullptr);
     signal(SIGPIPE, SIG_IGN);
   }
@@ -73,7 +74,7 @@
   signals.Wait();
   LOG(INFO) << "event=stopping host=" << settings.host;
   daemon.BeginStop();
-  // A second signal ends it at once.
+  // A second SIGTERM or SIGINT stops the daemon at once.
   const bool graceful = signals.Wait() == SIGUSR1;
   daemon.Stop();
   LOG(INFO) << "event=stopped host=" << settings.host
@@ -81,12 +82,13 @@
   return kSuccess;
 }
 
-/// The daemon's second form, on the users' platform.
-int MainOnPlatform(const std::vector<std::string>& rest,
-                   bool check_only,
-                   int metrics_port) {
+/// Runs the daemon with the adapter for the users' platform, or checks its
+/// settings. The path of the settings file defaults to that of the platform.
+int RunOnPlatform(const std::vector<std::string>& rest,
+                  bool check_only,
+                  int metrics_port) {
   if (rest.size() > 1) {
-    throw usage_error("at most one settings file is needed");
+    throw usage_error("at most one settings file is allowed");
   }
   const std::string path =
       rest.empty() ? platform::SettingsPath() : rest.front();
@@ -105,15 +107,16 @@
   int metrics_port = kDefaultMetricsPort;
   option_parser parser("cuminswitchd", "[OPTION...] SETTINGS.toml");
   parser.AddFlag("check", check_only, "Check the settings and exit");
-  parser.AddFlag("platform", on_platform, "Run on the users' platform");
+  parser.AddFlag("platform", on_platform,
+                 "Run with the adapter for the users' platform");
   parser.AddInteger("metrics-port", metrics_port,
-                    "Where the platform's form serves its metrics");
+                    "Port of the metrics page; only with --platform");
   const std::vector<std::string> rest = parser.Parse(ArgumentsOf(argc, argv));
   if (on_platform) {
-    return MainOnPlatform(rest, check_only, metrics_port);
+    return RunOnPlatform(rest, check_only, metrics_port);
   }
   if (rest.size() != 1) {
-    throw usage_error("exactly one settings file is needed");
+    throw usage_error("exactly one settings file is required");
   }
   const daemon_settings settings =
       ParseDaemonSettings(ReadFile(rest.front()), rest.front());
@@ -140,6 +143,6 @@
     return cuminswitch::kBadSettings;
   } catch (const std::exception& error) {
     std::cerr << "cuminswitchd: " << error.what() << "\n";
-    return cuminswitch::kCannotRun;
+    return cuminswitch::kFailed;
   }
 }
