--- a/lib/Fleet/fleet_task.cc
+++ b/lib/Fleet/fleet_task.cc
@@ -267,7 +267,7 @@
   }
   const revision_number revision = feed_.view().revision();
   if (questions_.IsWaiting()) {
-    with_.log.Write(log_class::kBelief,
+    with_.log.Write(log_class::kStateChange,
                     log_line("question_unanswered")
                         .Add("peer", questions_.peer())
                         .Add("after_ms", now - questions_.asked_at()));
@@ -382,7 +382,7 @@
                              command_result::kConflict);
     return;
   }
-  with_.log.Write(log_class::kBelief,
+  with_.log.Write(log_class::kStateChange,
                   log_line("order_sent")
                       .Add("upstream", step.upstream)
                       .Add("model", step.command->weights.model)
@@ -391,7 +391,7 @@
                       .Add("fence", election_.fence()));
   with_.engines.SendCommand(
       step, election_.fence(), [this, step](command_result end) {
-        with_.log.Write(log_class::kBelief, log_line("order_ended")
+        with_.log.Write(log_class::kStateChange, log_line("order_ended")
                                                 .Add("upstream", step.upstream)
                                                 .Add("end", ToString(end)));
         rollout_.OnCommandResult(ReadBootClock(), step.upstream, end);
