--- a/include/cuminswitch/Fleet/fleet_message.h
+++ b/include/cuminswitch/Fleet/fleet_message.h
@@ -56,7 +56,7 @@
 
 /// What is known of the deployment changed.
 struct fleet_snapshot_changed {
-  std::shared_ptr<const fleet_snapshot> knowledge;
+  std::shared_ptr<const fleet_snapshot> snapshot;
 };
 /// Some of the upstreams in use changed.
 struct upstreams_changed {
--- a/include/cuminswitch/Fleet/fleet_snapshot.h
+++ b/include/cuminswitch/Fleet/fleet_snapshot.h
@@ -67,7 +67,7 @@
 /// What is known besides the upstreams. Immutable once published.
 struct fleet_snapshot {
   /// Null until a configuration is known.
-  std::shared_ptr<const routing_config> plan;
+  std::shared_ptr<const routing_config> config;
   std::vector<weights_version> wanted_weights;
   std::vector<daemon_entry> daemons;
   /// Digests of requests that are kept away from upstreams.
@@ -80,7 +80,7 @@
 /// What changed items say that was not known before.
 struct decoded_items {
   /// Null where all of it is as it was.
-  std::shared_ptr<const fleet_snapshot> knowledge;
+  std::shared_ptr<const fleet_snapshot> snapshot;
   std::vector<upstream_entry_update> upstreams;
   /// The keys that said so.
   std::vector<std::string> changed_keys;
--- a/include/cuminswitch/Fleet/item_store.h
+++ b/include/cuminswitch/Fleet/item_store.h
@@ -37,7 +37,7 @@
 
 /// The answer to a read or a watch.
 struct store_items {
-  store_status end = store_status::kUnknown;
+  store_status status = store_status::kUnknown;
   std::vector<item_change> items;
   /// The store's revision that the answer is as of.
   revision_number revision = 0;
@@ -45,14 +45,14 @@
 
 /// The answer to a lease call.
 struct store_lease {
-  store_status end = store_status::kUnknown;
+  store_status status = store_status::kUnknown;
   lease_number lease = 0;
   std::chrono::milliseconds time_to_live{0};
 };
 
 /// The answer to a write.
 struct store_write {
-  store_status end = store_status::kUnknown;
+  store_status status = store_status::kUnknown;
   revision_number revision = 0;
 };
 
--- a/include/cuminswitch/Fleet/upstream_directory.h
+++ b/include/cuminswitch/Fleet/upstream_directory.h
@@ -51,9 +51,9 @@
  public:
   /// Takes in what the store says of an upstream. An entry that goes missing is
   /// kept where \p window says that it may have lapsed.
-  void Take(time_point now,
-            const upstream_entry_update& news,
-            const recovery_window& window);
+  void Apply(time_point now,
+             const upstream_entry_update& news,
+             const recovery_window& window);
   /// Drops entries that were kept, and have not lapsed by what is known now.
   void Expire(time_point now, const recovery_window& window);
   bool HasRetained() const { return !kept_.empty(); }
--- a/lib/Edge/edge_arrivals.cc
+++ b/lib/Edge/edge_arrivals.cc
@@ -28,10 +28,10 @@
 uint32_t edge_task::CheckRequest(const caller_request& request,
                                  const route_spec*& route,
                                  const workspace_config*& workspace) const {
-  if (knowledge_ == nullptr || knowledge_->plan == nullptr) {
+  if (knowledge_ == nullptr || knowledge_->config == nullptr) {
     return status_code::kUnavailable;
   }
-  const routing_config& plan = *knowledge_->plan;
+  const routing_config& plan = *knowledge_->config;
   route = plan.FindRoute(request.host, request.path);
   if (route == nullptr) {
     return status_code::kNotFound;
@@ -57,9 +57,10 @@
     return;
   }
   metrics_.CountRejected(status);
-  const uint64_t version = knowledge_ == nullptr || knowledge_->plan == nullptr
-                               ? 0
-                               : knowledge_->plan->version;
+  const uint64_t version =
+      knowledge_ == nullptr || knowledge_->config == nullptr
+          ? 0
+          : knowledge_->config->version;
   with_.log.Write(log_class::kRequest, log_line("request_rejected")
                                            .Add("id", request.attempt)
                                            .Add("host", request.host)
@@ -84,7 +85,7 @@
       .id = ++next_request_,
       .exchange = &exchange,
       .request = std::move(request),
-      .plan = knowledge_->plan,
+      .plan = knowledge_->config,
       .route = &route,
       .workspace = workspace == nullptr ? std::string() : workspace->name,
       .rank = workspace == nullptr ? route.rank
--- a/lib/Edge/edge_knowledge.cc
+++ b/lib/Edge/edge_knowledge.cc
@@ -68,7 +68,7 @@
 }
 
 void edge_task::ApplyPlan(time_point now, action_list& actions) {
-  if (knowledge_ != nullptr && knowledge_->plan != nullptr) {
+  if (knowledge_ != nullptr && knowledge_->config != nullptr) {
     router_.OnPlan(now, TranslateRoutingConfig(*knowledge_, held_weights_),
                    actions);
   }
@@ -77,15 +77,15 @@
 void edge_task::Take(const fleet_snapshot_changed& news) {
   const bool was_ready = IsReady();
   const bool has_same_plan =
-      knowledge_ != nullptr && knowledge_->plan == news.knowledge->plan &&
-      knowledge_->wanted_weights == news.knowledge->wanted_weights;
-  knowledge_ = news.knowledge;
+      knowledge_ != nullptr && knowledge_->config == news.snapshot->config &&
+      knowledge_->wanted_weights == news.snapshot->wanted_weights;
+  knowledge_ = news.snapshot;
   router_.quarantine().OnStored(ReadBootClock(), knowledge_->quarantined);
   LogQuarantines();
-  if (knowledge_->plan == nullptr || has_same_plan) {
+  if (knowledge_->config == nullptr || has_same_plan) {
     return;
   }
-  const routing_config& plan = *knowledge_->plan;
+  const routing_config& plan = *knowledge_->config;
   server_->SetLimits({.max_head_size = plan.max_head_size,
                       .max_body_size = plan.max_body_size,
                       .request_timeout = plan.request_timeout,
--- a/lib/Edge/edge_limits.cc
+++ b/lib/Edge/edge_limits.cc
@@ -125,11 +125,12 @@
 std::optional<size_t> edge_task::IdleLimit(const endpoint& to) const {
   const auto found = upstreams_by_address_.find(to);
   if (found == upstreams_by_address_.end() || knowledge_ == nullptr ||
-      knowledge_->plan == nullptr) {
+      knowledge_->config == nullptr) {
     return std::nullopt;
   }
   const upstream_entry& entry = *found->second;
-  const service_config* service = knowledge_->plan->FindService(entry.service);
+  const service_config* service =
+      knowledge_->config->FindService(entry.service);
   if (service == nullptr) {
     return std::nullopt;
   }
--- a/lib/Edge/edge_task.cc
+++ b/lib/Edge/edge_task.cc
@@ -76,7 +76,7 @@
 }
 
 bool edge_task::IsReady() const {
-  return knowledge_ != nullptr && knowledge_->plan != nullptr &&
+  return knowledge_ != nullptr && knowledge_->config != nullptr &&
          !stop_.HasBegun();
 }
 
@@ -238,7 +238,7 @@
 void edge_task::OnFlowEnd(request_flow& flow, const flow_result& end) {
   with_.log.Write(log_class::kRequest,
                   DescribeEnd(ReadBootClock(), flow, end)
-                      .Add("configuration", knowledge_->plan->version));
+                      .Add("configuration", knowledge_->config->version));
   const std::string& route = flow.route().name;
   metrics_.CountEnd(route, end.result, end.reason,
                     ToSeconds(ReadBootClock() - flow.arrived()));
--- a/lib/Edge/routing_config_translator.cc
+++ b/lib/Edge/routing_config_translator.cc
@@ -82,7 +82,7 @@
     const weights_version_counter& held) {
   auto config = std::make_shared<configuration>();
   std::vector<std::string> targets;
-  for (const service_config& service : knowledge.plan->services) {
+  for (const service_config& service : knowledge.config->services) {
     config->services.push_back({.name = service.name, .repeatable = true});
     targets.push_back(service.name);
     for (const std::string& model : service.models) {
@@ -90,7 +90,7 @@
           {.name = TargetName(service.name, model),
            .version = NewestVersion(knowledge, held, model),
            .adapter = {},
-           .cache_stores = ListCacheStores(*knowledge.plan, service),
+           .cache_stores = ListCacheStores(*knowledge.config, service),
            .copy_rate = service.copy_rate * kCopyRateUsed,
            .cache_tokens = service.cache_tokens});
       targets.push_back(config->models.back().name);
@@ -99,7 +99,7 @@
   config->workspaces.push_back({.name = std::string(kPublicWorkspace),
                                 .uses = targets,
                                 .max_in_flight = kNoWorkspaceLimit});
-  for (const workspace_config& item : knowledge.plan->workspaces) {
+  for (const workspace_config& item : knowledge.config->workspaces) {
     config->workspaces.push_back({.name = item.name,
                                   .uses = targets,
                                   .max_in_flight = kNoWorkspaceLimit});
--- a/lib/Fleet/fleet_publishing.cc
+++ b/lib/Fleet/fleet_publishing.cc
@@ -105,13 +105,14 @@
     weights += (weights.empty() ? "" : " ") + item.model + "=" +
                std::to_string(item.version);
   }
-  log.Write(log_class::kBelief,
-            log_line("knowledge_changed")
-                .Add("revision", knowledge.revision)
-                .Add("configuration",
-                     knowledge.plan == nullptr ? 0 : knowledge.plan->version)
-                .Add("weights", weights)
-                .Add("leader", knowledge.leader));
+  log.Write(
+      log_class::kBelief,
+      log_line("knowledge_changed")
+          .Add("revision", knowledge.revision)
+          .Add("configuration",
+               knowledge.config == nullptr ? 0 : knowledge.config->version)
+          .Add("weights", weights)
+          .Add("leader", knowledge.leader));
 }
 
 void fleet_task::LogSuspicions() {
@@ -196,7 +197,7 @@
 
 void fleet_task::Publish(std::shared_ptr<const fleet_snapshot> next) {
   const bool is_new_plan = knowledge_ == nullptr ||
-                           knowledge_->plan != next->plan ||
+                           knowledge_->config != next->config ||
                            knowledge_->wanted_weights != next->wanted_weights;
   const bool is_other_order = is_new_plan || knowledge_->leader != next->leader;
   const bool has_other_daemons =
@@ -213,7 +214,7 @@
     LogKnowledge(with_.log, *next);
   }
   services_.FindPort<fleet_event>(kEdgeService)
-      .Post(fleet_snapshot_changed{.knowledge = std::move(next)});
+      .Post(fleet_snapshot_changed{.snapshot = std::move(next)});
   RunRollout(ReadBootClock());
   if (is_new_plan) {
     // Peers that the store turns away learn it from here.
--- a/lib/Fleet/fleet_task.cc
+++ b/lib/Fleet/fleet_task.cc
@@ -295,7 +295,7 @@
                      .expected = std::nullopt},
                     [this](const store_write& written) {
                       is_registering_ = false;
-                      is_registered_ = written.end == store_status::kDone;
+                      is_registered_ = written.status == store_status::kDone;
                       next_registration_ = ReadBootClock() + kRegistrationRetry;
                     });
 }
@@ -311,12 +311,12 @@
   feed_.MarkForRelay(decoded.changed_keys);
   const time_point now = ReadBootClock();
   for (const upstream_entry_update& news : decoded.upstreams) {
-    upstreams_.Take(now, news, lapsed_.Window());
+    upstreams_.Apply(now, news, lapsed_.Window());
   }
   // Before a first configuration, with which the daemon begins to serve.
   PublishUpstreams();
-  if (decoded.knowledge != nullptr) {
-    Publish(std::move(decoded.knowledge));
+  if (decoded.snapshot != nullptr) {
+    Publish(std::move(decoded.snapshot));
   } else {
     RunRollout(now);
   }
--- a/lib/Fleet/item_watcher.cc
+++ b/lib/Fleet/item_watcher.cc
@@ -82,15 +82,15 @@
 }
 
 void item_watcher::OnItems(bool is_complete, const store_items& answer) {
-  if (answer.end == store_status::kHistoryGone) {
+  if (answer.status == store_status::kHistoryGone) {
     must_read_all_ = true;
     log_.Write(log_class::kBelief,
                log_line("store_history_gone").Add("after", view_.revision()));
     timer_.Start(duration(0));
     return;
   }
-  if (answer.end != store_status::kDone) {
-    OnFailure(answer.end);
+  if (answer.status != store_status::kDone) {
+    OnFailure(answer.status);
     return;
   }
   OnSuccess();
--- a/lib/Fleet/leader_election.cc
+++ b/lib/Fleet/leader_election.cc
@@ -54,7 +54,7 @@
 }
 
 void leader_election::OnLease(time_point asked_at, const store_lease& answer) {
-  if (answer.end != store_status::kDone) {
+  if (answer.status != store_status::kDone) {
     is_calling_ = false;
     next_call_ = now_ + kRetryInterval;
     return;
@@ -68,7 +68,7 @@
     }
     is_calling_ = false;
     next_call_ = now_ + kRetryInterval;
-    if (written.end != store_status::kDone) {
+    if (written.status != store_status::kDone) {
       // A write without answer may have been done; then the key goes with the
       // lease, which nobody renews.
       Lose();
@@ -96,9 +96,9 @@
       return;
     }
     is_calling_ = false;
-    if (answer.end == store_status::kDone) {
+    if (answer.status == store_status::kDone) {
       valid_until_ = now + answer.time_to_live - kSafetyMargin;
-    } else if (answer.end == store_status::kNoLease) {
+    } else if (answer.status == store_status::kNoLease) {
       Lose();
     }
   };
--- a/lib/Fleet/quarantine_records.cc
+++ b/lib/Fleet/quarantine_records.cc
@@ -48,7 +48,7 @@
 
 void quarantine_records::OnLease(const hash128& request,
                                  const store_lease& answer) {
-  if (answer.end != store_status::kDone) {
+  if (answer.status != store_status::kDone) {
     is_calling_ = false;
     return;
   }
@@ -62,7 +62,7 @@
           return;
         }
         is_calling_ = false;
-        if (written.end == store_status::kConflict) {
+        if (written.status == store_status::kConflict) {
           // Another daemon has written it.
           store_.EndLease(lease);
         }
--- a/lib/Fleet/upstream_directory.cc
+++ b/lib/Fleet/upstream_directory.cc
@@ -30,9 +30,9 @@
   return Hash64(address.address, address.port);
 }
 
-void upstream_directory::Take(time_point now,
-                              const upstream_entry_update& news,
-                              const recovery_window& window) {
+void upstream_directory::Apply(time_point now,
+                               const upstream_entry_update& news,
+                               const recovery_window& window) {
   unreadable_.erase(news.id);
   if (news.entry != nullptr) {
     Put(news.entry);
--- a/unittests/Fleet/item_watcher_test.cc
+++ b/unittests/Fleet/item_watcher_test.cc
@@ -87,13 +87,13 @@
 
 // Guards against daemons that notice the store's return over a second late.
 TEST_F(item_watcher_test, ALostStoreIsNotAskedToHoldItsAnswerBack) {
-  store_.reading({.end = store_status::kDone, .revision = 5});
+  store_.reading({.status = store_status::kDone, .revision = 5});
   RunTimers();
   const std::chrono::milliseconds usual = store_.watched_for;
-  store_.watching({.end = store_status::kUnknown});
+  store_.watching({.status = store_status::kUnknown});
   RunTimers();
   EXPECT_LE(store_.watched_for, usual / 5);
-  store_.watching({.end = store_status::kDone, .revision = 5});
+  store_.watching({.status = store_status::kDone, .revision = 5});
   RunTimers();
   EXPECT_EQ(store_.watched_for, usual);
 }
--- a/unittests/Fleet/leader_election_test.cc
+++ b/unittests/Fleet/leader_election_test.cc
@@ -21,11 +21,11 @@
   void Write(const conditional_write& write,
              std::function<void(store_write)> done) override {
     calls.push_back([this, write, done](bool is_lost) {
-      store_write answer{.end = store_status::kConflict};
+      store_write answer{.status = store_status::kConflict};
       if (holder_lease == 0) {
         holder_lease = write.lease;
         holder = write.value;
-        answer = {.end = store_status::kDone, .revision = ++revision};
+        answer = {.status = store_status::kDone, .revision = ++revision};
       }
       done(is_lost ? store_write{} : answer);
     });
@@ -35,7 +35,7 @@
     calls.push_back([this, time_to_live, done](bool is_lost) {
       const lease_number lease = ++last_lease;
       done(is_lost ? store_lease{}
-                   : store_lease{.end = store_status::kDone,
+                   : store_lease{.status = store_status::kDone,
                                  .lease = lease,
                                  .time_to_live = time_to_live});
     });
@@ -45,8 +45,8 @@
     calls.push_back([this, lease, done](bool is_lost) {
       const bool lives = lease == holder_lease;
       done(is_lost ? store_lease{}
-                   : store_lease{.end = lives ? store_status::kDone
-                                              : store_status::kNoLease,
+                   : store_lease{.status = lives ? store_status::kDone
+                                                 : store_status::kNoLease,
                                  .lease = lease,
                                  .time_to_live = milliseconds(1500)});
     });
--- a/unittests/Fleet/quarantine_records_test.cc
+++ b/unittests/Fleet/quarantine_records_test.cc
@@ -21,12 +21,12 @@
   void Write(const conditional_write& write,
              std::function<void(store_write)> done) override {
     writes.push_back(write);
-    done({.end = write_end});
+    done({.status = write_end});
   }
   void GrantLease(milliseconds time_to_live,
                   std::function<void(store_lease)> done) override {
     lease_times.push_back(time_to_live);
-    done({.end = lease_end, .lease = lease_times.size()});
+    done({.status = lease_end, .lease = lease_times.size()});
   }
   void EndLease(lease_number lease) override { ended.push_back(lease); }
 
--- a/unittests/Fleet/upstream_directory_test.cc
+++ b/unittests/Fleet/upstream_directory_test.cc
@@ -37,12 +37,12 @@
     }
     for (const std::string& id : listed_) {
       if (std::find(listed.begin(), listed.end(), id) == listed.end()) {
-        directory_.Take(now, {.id = id, .revision = kRemoved}, window);
+        directory_.Apply(now, {.id = id, .revision = kRemoved}, window);
       }
     }
     listed_ = listed;
     for (const upstream_entry& entry : entries) {
-      directory_.Take(now, News(entry), window);
+      directory_.Apply(now, News(entry), window);
     }
   }
   static upstream_entry_update News(const upstream_entry& entry) {
@@ -151,10 +151,10 @@
 // overwritten while the store was away, and was taken for one that lapsed.
 TEST_F(upstream_directory_test, AnUnreadableEntryHasNotLapsed) {
   List({{.id = "a", .address = kHere}, {.id = "b", .address = kThere}});
-  directory_.Take(kNow, {.id = "b", .is_unreadable = true}, kReturned);
+  directory_.Apply(kNow, {.id = "b", .is_unreadable = true}, kReturned);
   EXPECT_EQ(InUse(), ids{"a"});
   EXPECT_EQ(directory_.unreadable_count(), 1U);
-  directory_.Take(kNow, {.id = "b"}, kReturned);
+  directory_.Apply(kNow, {.id = "b"}, kReturned);
   EXPECT_EQ(directory_.unreadable_count(), 0U);
 }
 
@@ -177,7 +177,7 @@
   EXPECT_EQ(directory_.CountOf("s"), fleet.size());
   EXPECT_TRUE(directory_.TakeChanges().empty());
   fleet[7].is_draining = true;
-  directory_.Take(kNow, News(fleet[7]), {});
+  directory_.Apply(kNow, News(fleet[7]), {});
   const std::vector<upstream_change> changes = directory_.TakeChanges();
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_EQ(changes[0].id, "e7");
--- a/unittests/Fleet/weights_rollout_test.cc
+++ b/unittests/Fleet/weights_rollout_test.cc
@@ -41,7 +41,7 @@
     for (const upstream_entry& entry : upstreams_) {
       const upstream_ref known = directory_.Find(entry.id);
       if (known == nullptr || *known != entry) {
-        directory_.Take(
+        directory_.Apply(
             now,
             {.id = entry.id,
              .entry = std::make_shared<const upstream_entry>(entry)},
--- a/unittests/PlatformAdapter/document_decoder_test.cc
+++ b/unittests/PlatformAdapter/document_decoder_test.cc
@@ -61,11 +61,11 @@
   std::shared_ptr<const all_known> Decode() {
     const decoded_items decoded =
         decoder_.Decode(view_, std::exchange(changed_, {}));
-    if (decoded.knowledge == nullptr && decoded.upstreams.empty()) {
+    if (decoded.snapshot == nullptr && decoded.upstreams.empty()) {
       return nullptr;
     }
-    if (decoded.knowledge != nullptr) {
-      static_cast<fleet_snapshot&>(known_) = *decoded.knowledge;
+    if (decoded.snapshot != nullptr) {
+      static_cast<fleet_snapshot&>(known_) = *decoded.snapshot;
     }
     for (const upstream_entry_update& news : decoded.upstreams) {
       std::erase_if(known_.upstreams, [&](const upstream_entry& entry) {
@@ -97,7 +97,7 @@
   Put("op/config", kConfiguration);
   const auto knowledge = Decode();
   ASSERT_NE(knowledge, nullptr);
-  const routing_config& plan = *knowledge->plan;
+  const routing_config& plan = *knowledge->config;
   EXPECT_EQ(plan.version, 7U);
   EXPECT_EQ(plan.FindRoute("h", "/a/x")->kind, request_kind::kStream);
   EXPECT_EQ(plan.FindRoute("h", "/a/x")->shares.size(), 2U);
@@ -122,7 +122,7 @@
   Decode();
   Put("op/config", "{\"version\":8");
   const auto knowledge = Decode();
-  EXPECT_EQ(knowledge->plan->version, 7U);
+  EXPECT_EQ(knowledge->config->version, 7U);
 }
 
 TEST_F(document_decoder_test, FollowsUpstreams) {
@@ -157,7 +157,7 @@
       decoder_.Decode(view_, std::exchange(changed_, {}));
   EXPECT_TRUE(decoded.changed_keys.empty());
   EXPECT_TRUE(decoded.upstreams.empty());
-  EXPECT_EQ(decoded.knowledge, nullptr);
+  EXPECT_EQ(decoded.snapshot, nullptr);
   Put("servers/i-1",
       R"({"backend":"s1","address":"10.0.0.9:80","zone":"z","version":"v1",
           "slots":64,"state":"draining","cold-left-ms":0,"seq":6})");
@@ -328,7 +328,7 @@
   Put("op/config", WithWorkspace("\"unit\":\"tokens\",\"rate-per-s\":500,"
                                  "\"burst\":700,\"uncached-tokens\":200"));
   const auto knowledge = Decode();
-  const auto& quota = knowledge->plan->workspaces.front().quota;
+  const auto& quota = knowledge->config->workspaces.front().quota;
   ASSERT_TRUE(quota.has_value());
   EXPECT_EQ(quota->rate, 500);
   EXPECT_EQ(quota->burst, 700);
@@ -342,7 +342,7 @@
         "\"rate-per-s\":null"}) {
     Put("op/config", WithWorkspace(fields));
     const auto knowledge = Decode();
-    EXPECT_FALSE(knowledge->plan->workspaces.front().quota) << fields;
+    EXPECT_FALSE(knowledge->config->workspaces.front().quota) << fields;
   }
 }
 
@@ -358,7 +358,7 @@
     Put("op/config", WithWorkspace(fields));
     const auto knowledge = Decode();
     ASSERT_NE(knowledge, nullptr) << fields;
-    EXPECT_EQ(knowledge->plan, before->plan) << fields;
+    EXPECT_EQ(knowledge->config, before->config) << fields;
   }
 }
 
--- a/unittests/PlatformAdapter/fleet_growth_test.cc
+++ b/unittests/PlatformAdapter/fleet_growth_test.cc
@@ -83,8 +83,8 @@
     }
     TakeIn(items);
     for (const upstream_ref& entry : directory_.List()) {
-      lapsed_.Take(kNow, {.id = entry->id, .entry = entry}, kReturned);
-      lapsed_.Take(kNow, {.id = entry->id, .revision = 1}, kReturned);
+      lapsed_.Apply(kNow, {.id = entry->id, .entry = entry}, kReturned);
+      lapsed_.Apply(kNow, {.id = entry->id, .revision = 1}, kReturned);
     }
     for (size_t i = 0; i < hosts; ++i) {
       roster_.OnHeartbeat(kNow, BeatOf(i));
@@ -100,7 +100,7 @@
       view_.MarkForRelay(key);
     }
     for (const upstream_entry_update& news : decoded.upstreams) {
-      directory_.Take(kNow, news, {});
+      directory_.Apply(kNow, news, {});
     }
     std::vector<upstream_update> updates;
     for (const upstream_change& change : directory_.TakeChanges()) {
--- a/unittests/PlatformAdapter/store_client_test.cc
+++ b/unittests/PlatformAdapter/store_client_test.cc
@@ -74,9 +74,9 @@
 // its daemon reads anew from the first page on. Cause: pages that had come were
 // thrown away, so that the link carried them again and again.
 TEST_F(store_client_test, AReadGoesOnBehindTheLastPageThatCame) {
-  EXPECT_EQ(ReadAll().end, store_status::kRefused);
+  EXPECT_EQ(ReadAll().status, store_status::kRefused);
   const store_items items = ReadAll();
-  EXPECT_EQ(items.end, store_status::kDone);
+  EXPECT_EQ(items.status, store_status::kDone);
   ASSERT_EQ(items.items.size(), 2U);
   EXPECT_EQ(items.items[0].key, "a");
   EXPECT_EQ(items.items[1].key, "b");
