--- a/include/cuminswitch/Fleet/fleet_task.h
+++ b/include/cuminswitch/Fleet/fleet_task.h
@@ -71,7 +71,7 @@
 
  private:
   bool OnFrame(std::span<const uint8_t> frame) override;
-  void OnBeat(const heartbeat_frame& beat);
+  void OnHeartbeatFrame(const heartbeat_frame& beat);
   void OnItemsRequest(const items_request_frame& request);
   void OnItemsReply(const items_reply_frame& reply);
 
@@ -79,13 +79,13 @@
   void OnItemsChanged(std::span<const std::string> keys);
   void Publish(std::shared_ptr<const fleet_snapshot> next);
   void PublishUpstreams();
-  void DecideFollowing(time_point now);
+  void UpdateFollowing(time_point now);
   void RegisterSelf();
   /// Writes down which requests crash upstreams.
   void RecordQuarantines(time_point now);
-  void SendBeat(const endpoint& to);
-  void Announce();
-  void AskPeers(time_point now);
+  void SendHeartbeat(const endpoint& to);
+  void BroadcastHeartbeat();
+  void RequestItems(time_point now);
   /// Tells the edge of peers that came, went or say something else of
   /// themselves, but not more often than a daemon can work through it: in a
   /// fleet that starts each beat is news.
@@ -94,11 +94,11 @@
   /// current again.
   void PublishStaleness(time_point now);
   /// Notes for the log how \p living differs from what was published.
-  void NotePeerChanges(std::span<const daemon_record> living);
+  void RecordPeerChanges(std::span<const daemon_record> living);
   /// Tells the log what changed in the lists of peers and upstreams.
   void LogListChanges(time_point now);
   /// Tells the log of a return of the store after which entries may be missing.
-  void LogAwaited(time_point now);
+  void LogStoreRecovery(time_point now);
   /// Tells the log which peers came under suspicion, and when this daemon said
   /// something new of itself, as it does when it is suspected.
   void LogSuspicions();
@@ -110,44 +110,44 @@
 
   const kernel& services_;
   options options_;
-  parts with_;
-  peer_table roster_;
-  item_watcher feed_;
+  parts parts_;
+  peer_table peer_table_;
+  item_watcher item_watcher_;
   leader_election election_;
   weights_rollout rollout_;
   staleness_tracker staleness_;
-  store_follower_policy duty_;
-  store_outage_tracker lapsed_;
+  store_follower_policy follower_policy_;
+  store_outage_tracker store_outage_;
   quarantine_records quarantine_records_;
   std::unique_ptr<peer_transport> transport_;
-  loop_timer beat_timer_;
+  loop_timer heartbeat_timer_;
   loop_timer rollout_timer_;
-  std::shared_ptr<const fleet_snapshot> knowledge_;
+  std::shared_ptr<const fleet_snapshot> snapshot_;
   upstream_directory upstreams_;
   std::vector<upstream_backlog> own_backlogs_;
   prompt_mix own_mix_;
   own_limits own_limits_;
   std::vector<quarantine_record> quarantined_;
-  crash_update_queue crash_bulletin_;
+  crash_update_queue crash_updates_;
   /// A daemon places up to 20 prefixes in a second and reaches each peer of a
   /// fleet that it goes through within 1.5 s, and each partner within 2 s.
-  peer_update_log<placed_prefix, 256> placement_news_;
+  peer_update_log<placed_prefix, 256> placement_log_;
   std::vector<std::string> leader_changing_;
   std::vector<std::string> published_changing_;
   time_point leader_changing_at_{};
   /// The living peers as the edge knows them, in the order of their names.
   std::vector<daemon_record> published_peers_;
   time_point published_peers_at_{};
-  size_t published_at_work_ = 0;
+  size_t published_possibly_active_ = 0;
   size_t published_unreadable_ = 0;
   uint32_t logged_version_ = 0;
   list_changes peer_changes_;
   list_changes upstream_changes_;
-  list_changes kept_changes_;
+  list_changes retained_changes_;
   /// The return of the store that the log was last told to be awaited.
-  uint64_t logged_return_ = 0;
-  items_request_tracker questions_;
-  item_list_cache complete_list_;
+  uint64_t logged_recovery_ = 0;
+  items_request_tracker items_requests_;
+  item_list_cache item_list_;
   time_point next_registration_{};
   bool is_stale_ = false;
   bool is_registering_ = false;
--- a/include/cuminswitch/Fleet/item_view.h
+++ b/include/cuminswitch/Fleet/item_view.h
@@ -57,7 +57,7 @@
   const entry_map& entries() const { return entries_; }
   /// The revision of the last news; 0 before the first read, and never
   /// afterwards.
-  revision_number relay_revision() const { return news_revision_; }
+  revision_number relay_revision() const { return relay_revision_; }
   /// Lists the items with news after \p revision, gone ones included. Visits
   /// only these while \p revision is among the last news.
   std::vector<item_change> ListRelayedSince(revision_number revision) const;
@@ -65,26 +65,26 @@
   std::vector<item_change> ListAll() const;
   /// Whether `ListRelayedSince(revision)` also tells of all items that went.
   bool HasHistorySince(revision_number revision) const {
-    return revision >= forgotten_;
+    return revision >= pruned_up_to_;
   }
 
  private:
   bool Apply(const item_change& change);
   /// Drops the oldest memories of items that went, and adds their keys to
   /// \p changed.
-  void Forget(std::vector<std::string>& changed);
+  void PruneRemoved(std::vector<std::string>& changed);
 
   entry_map entries_;
-  size_t gone_count_ = 0;
+  size_t removed_count_ = 0;
   revision_number revision_ = 0;
-  revision_number news_revision_ = 0;
+  revision_number relay_revision_ = 0;
   /// The last news, each with its item's key. Those whose item has changed
   /// since are stale.
-  std::set<std::pair<revision_number, std::string>> recent_;
-  /// All news after this are in `recent_`.
-  revision_number recent_since_ = 0;
+  std::set<std::pair<revision_number, std::string>> recent_changes_;
+  /// All news after this are in `recent_changes_`.
+  revision_number recent_changes_since_ = 0;
   /// Items that went at or before this revision may be forgotten.
-  revision_number forgotten_ = 0;
+  revision_number pruned_up_to_ = 0;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Fleet/item_watcher.h
+++ b/include/cuminswitch/Fleet/item_watcher.h
@@ -30,7 +30,7 @@
     std::function<void(std::span<const std::string> keys)> on_change;
     /// Called with the time of each answer of the store, and with the revision
     /// that it is as of, before its changes.
-    std::function<void(time_point at, revision_number revision)> on_answer;
+    std::function<void(time_point at, revision_number revision)> on_reply;
   };
 
   item_watcher(event_base* base,
@@ -55,14 +55,14 @@
   void MarkForRelay(std::span<const std::string> keys);
   /// Whether the store answered this daemon within \p span.
   bool IsFresh(time_point now, duration span) const {
-    return now - answered_at_ <= span;
+    return now - last_reply_at_ <= span;
   }
   /// When the store last answered this daemon.
-  time_point answered_at() const { return answered_at_; }
+  time_point last_reply_at() const { return last_reply_at_; }
   /// When it last failed to.
-  time_point failed_at() const { return failed_at_; }
+  time_point last_failure_at() const { return last_failure_at_; }
   /// Whether the store's last answer to this daemon was a failure.
-  bool IsLost() const { return is_lost_; }
+  bool HasFailed() const { return has_failed_; }
 
  private:
   void Next();
@@ -78,15 +78,15 @@
   loop_timer timer_;
   item_view view_;
   bool must_read_all_ = true;
-  bool is_lost_ = false;
+  bool has_failed_ = false;
   bool is_following_ = true;
   /// A call is under way, or the timer for the next one runs.
   bool is_busy_ = false;
-  duration pause_{0};
+  duration retry_delay_{0};
   /// When the call that is under way, or the last one, began.
   time_point called_at_{};
-  time_point answered_at_{};
-  time_point failed_at_{};
+  time_point last_reply_at_{};
+  time_point last_failure_at_{};
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/include/cuminswitch/Fleet/items_request_tracker.h
+++ b/include/cuminswitch/Fleet/items_request_tracker.h
@@ -18,22 +18,22 @@
 /// same list again and again, and hold all of them in memory.
 class items_request_tracker {
  public:
-  bool MayAsk(time_point now) const;
-  void OnAsked(time_point now, std::string peer);
-  void OnAnswered() { is_waiting_ = false; }
+  bool MaySend(time_point now) const;
+  void OnSent(time_point now, std::string peer);
+  void OnReply() { is_pending_ = false; }
   /// Whether the last question is still without an answer.
-  bool IsWaiting() const { return is_waiting_; }
+  bool IsPending() const { return is_pending_; }
   /// Whom the last question went to, and when.
   const std::string& peer() const { return peer_; }
-  time_point asked_at() const { return asked_at_; }
+  time_point asked_at() const { return sent_at_; }
   /// Questions so far; another peer is asked each time.
-  uint64_t turn() const { return turn_; }
+  uint64_t turn() const { return request_count_; }
 
  private:
-  time_point asked_at_{};
-  uint64_t turn_ = 0;
+  time_point sent_at_{};
+  uint64_t request_count_ = 0;
   std::string peer_;
-  bool is_waiting_ = false;
+  bool is_pending_ = false;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Fleet/leader_election.h
+++ b/include/cuminswitch/Fleet/leader_election.h
@@ -46,14 +46,14 @@
   void Claim(time_point now);
   void OnLease(time_point asked_at, const store_lease& answer);
   void Renew(time_point now);
-  void Lose();
+  void DropLeadership();
 
   options options_;
   item_store& store_;
   lease_number lease_ = 0;
   revision_number fence_ = 0;
   time_point valid_until_{};
-  time_point may_order_from_{};
+  time_point commands_allowed_from_{};
   time_point vacant_since_{};
   time_point next_call_{};
   time_point now_{};
--- a/include/cuminswitch/Fleet/staleness_tracker.h
+++ b/include/cuminswitch/Fleet/staleness_tracker.h
@@ -31,10 +31,12 @@
   explicit staleness_tracker(uint64_t self) : self_(self) {}
 
   /// The store answered this daemon at \p at.
-  void OnStoreAnswer(time_point at);
+  void OnStoreReply(time_point at);
   /// A peer told \p told. Where \p is_behind, the peer knows more than this
   /// daemon, so that its evidence does not hold here.
-  void OnPeer(time_point now, const freshness_record& told, bool is_behind);
+  void OnPeerReport(time_point now,
+                    const freshness_record& told,
+                    bool is_behind);
   /// Returns the time since the items were last known to be complete.
   duration Staleness(time_point now) const { return now - complete_at_; }
   /// Returns the youngest evidence that holds here; nothing where there is
@@ -45,10 +47,10 @@
 
  private:
   uint64_t self_;
-  uint64_t witness_ = 0;
+  uint64_t freshness_source_ = 0;
   time_point complete_at_{};
   /// When the store answered each of the daemons that peers name.
-  std::map<uint64_t, time_point> answered_at_;
+  std::map<uint64_t, time_point> last_reply_at_;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Fleet/store_follower_policy.h
+++ b/include/cuminswitch/Fleet/store_follower_policy.h
@@ -31,8 +31,8 @@
     std::span<const daemon_record> alive;
     const staleness_tracker& staleness;
     /// When the store last answered this daemon, and last failed to.
-    time_point answered_at{};
-    time_point failed_at{};
+    time_point last_reply_at{};
+    time_point last_failure_at{};
     /// Daemons of the deployment.
     size_t known = 1;
   };
@@ -45,14 +45,14 @@
 
  private:
   /// Whether enough peers that rank before this daemon have the store.
-  bool IsRelieved(time_point now, const view& seen) const;
-  duration TryInterval(const view& seen);
-
-  bool is_chosen_ = true;
-  bool is_standing_in_ = false;
-  time_point stands_in_since_{};
-  time_point next_try_{};
-  uint64_t tries_ = 0;
+  bool MayStepDown(time_point now, const view& seen) const;
+  duration NextTakeoverDelay(const view& seen);
+
+  bool is_selected_ = true;
+  bool has_taken_over_ = false;
+  time_point taken_over_at_{};
+  time_point next_takeover_{};
+  uint64_t takeover_attempts_ = 0;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Fleet/store_outage_tracker.h
+++ b/include/cuminswitch/Fleet/store_outage_tracker.h
@@ -37,17 +37,17 @@
     /// A hash of this daemon's process.
     uint64_t self = 0;
     /// The store drops no entry that it has not heard for less.
-    duration least_outage = std::chrono::milliseconds(2400);
+    duration min_outage = std::chrono::milliseconds(2400);
   };
 
   explicit store_outage_tracker(const options& opts) : options_(opts) {}
 
   /// The store answered this daemon at \p at, as of \p revision.
-  void OnStoreAnswer(time_point at, revision_number revision);
+  void OnStoreReply(time_point at, revision_number revision);
   /// Takes in what a peer told of the store.
-  void OnPeer(time_point now,
-              const store_recovery& told,
-              const std::optional<freshness_record>& evidence);
+  void OnPeerReport(time_point now,
+                    const store_recovery& told,
+                    const std::optional<freshness_record>& evidence);
   /// Whether the store is not known to have answered anybody for so long that
   /// entries may lapse. Nothing that is missing can come back meanwhile.
   bool IsStoreUnavailable(time_point now) const;
@@ -58,19 +58,19 @@
 
  private:
   /// The first answer of the store to anybody after it had been away.
-  struct store_return {
+  struct observed_recovery {
     /// Names it, as its witness saw it; 0 for none.
     uint64_t event = 0;
     time_point at{};
     revision_number revision = 0;
   };
 
-  void OnReturn(const store_return& seen);
+  void OnRecovery(const observed_recovery& seen);
 
   options options_;
   /// When the store is last known to have answered anybody.
-  std::optional<time_point> answered_at_;
-  store_return return_;
+  std::optional<time_point> last_reply_at_;
+  observed_recovery recovery_;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Fleet/upstream_directory.h
+++ b/include/cuminswitch/Fleet/upstream_directory.h
@@ -56,14 +56,14 @@
              const recovery_window& window);
   /// Drops entries that were kept, and have not lapsed by what is known now.
   void Expire(time_point now, const recovery_window& window);
-  bool HasRetained() const { return !kept_.empty(); }
+  bool HasRetained() const { return !retained_.empty(); }
 
   /// Returns what changed since the last call.
   std::vector<upstream_change> TakeChanges();
   /// Returns what changed since the last call of upstreams that are kept though
   /// the store does not list them.
   std::vector<retained_change> TakeRetainedChanges() {
-    return std::exchange(kept_changes_, {});
+    return std::exchange(retained_changes_, {});
   }
   /// Grows with each change.
   uint64_t version() const { return version_; }
@@ -94,22 +94,22 @@
   void Put(const upstream_ref& entry);
   void Remove(const std::string& id);
   /// \p id is kept no longer; nothing happens where it was not.
-  void EndKeeping(const std::string& id);
+  void EndRetention(const std::string& id);
   /// Notes that \p id was \p before until now.
-  void NoteChange(const std::string& id, const upstream_ref& before);
+  void RecordChange(const std::string& id, const upstream_ref& before);
   /// \p item begins to be in use, or ceases.
-  void Use(const upstream_ref& item);
-  void Disuse(const upstream_ref& item);
+  void Activate(const upstream_ref& item);
+  void Deactivate(const upstream_ref& item);
 
   std::map<std::string, state, std::less<>> states_;
   /// Who listens at each address, among those in use.
-  std::unordered_map<endpoint, upstream_ref, address_hash> owners_;
+  std::unordered_map<endpoint, upstream_ref, address_hash> active_by_address_;
   std::map<std::string, size_t, std::less<>> service_sizes_;
   std::set<std::string, std::less<>> unreadable_;
-  std::set<std::string, std::less<>> kept_;
-  std::vector<retained_change> kept_changes_;
+  std::set<std::string, std::less<>> retained_;
+  std::vector<retained_change> retained_changes_;
   /// No kept entry was removed after this revision.
-  revision_number last_kept_removal_ = 0;
+  revision_number last_retained_removal_ = 0;
   /// What upstreams with changes were at the last `TakeChanges`.
   std::map<std::string, upstream_ref> changed_;
   size_t in_use_count_ = 0;
--- a/include/cuminswitch/Fleet/weights_rollout.h
+++ b/include/cuminswitch/Fleet/weights_rollout.h
@@ -63,8 +63,8 @@
   /// Engines of one service that change at a time: a fifth, and at least
   /// three, since with fewer the last of a dozen is late. More at once make
   /// each change take longer, and take more of the service away.
-  static constexpr size_t kLeastChangesAtOnce = 3;
-  static constexpr size_t kServicePart = 5;
+  static constexpr size_t kMinConcurrentChanges = 3;
+  static constexpr size_t kConcurrentChangesDivisor = 5;
 
   /// Returns what to do now; only the leader may call it.
   std::vector<rollout_step> OnTick(time_point now,
@@ -84,7 +84,7 @@
   void Clear();
 
  private:
-  enum class stage : uint8_t { kIdle, kAsked, kOrdered, kChanging };
+  enum class stage : uint8_t { kIdle, kQuerying, kCommanded, kChanging };
   struct engine {
     stage at = stage::kIdle;
     std::string service;
@@ -109,7 +109,7 @@
   /// version may still be used runs from the naming of the next.
   std::vector<outdated> ListOutdated(const upstream_directory& upstreams) const;
   /// Forgets engines that are as wanted, gone, or started anew.
-  void DropSettled(const upstream_directory& upstreams);
+  void DropFinished(const upstream_directory& upstreams);
 
   std::map<std::string, engine> engines_;
   std::vector<weights_version> wanted_;
--- a/lib/Fleet/address_selection.cc
+++ b/lib/Fleet/address_selection.cc
@@ -11,7 +11,7 @@
 
 /// Of an answer's addresses, the part that is of other failure domains. What a
 /// caller sends there crosses between domains.
-static constexpr size_t kOtherDomainsPart = 16;
+static constexpr size_t kOtherDomainsDivisor = 16;
 
 namespace {
 
@@ -27,7 +27,8 @@
 }  // namespace
 
 /// Moves the \p count candidates with the greatest weights to the front.
-static void PutFirst(std::vector<candidate>& candidates, size_t count) {
+static void MoveHighestToFront(std::vector<candidate>& candidates,
+                               size_t count) {
   const auto end = candidates.begin() + static_cast<std::ptrdiff_t>(
                                             std::min(count, candidates.size()));
   if (end != candidates.end()) {
@@ -48,12 +49,12 @@
              .host = &host});
   }
   const size_t reserved =
-      std::min(others.size(), question.max_count / kOtherDomainsPart);
+      std::min(others.size(), question.max_count / kOtherDomainsDivisor);
   const size_t own_count = std::min(own.size(), question.max_count - reserved);
   const size_t others_count =
       std::min(others.size(), question.max_count - own_count);
-  PutFirst(own, own_count);
-  PutFirst(others, others_count);
+  MoveHighestToFront(own, own_count);
+  MoveHighestToFront(others, others_count);
   std::vector<endpoint> addresses;
   for (const auto& [list, count] :
        {std::pair(&own, own_count), std::pair(&others, others_count)}) {
--- a/lib/Fleet/fleet_publishing.cc
+++ b/lib/Fleet/fleet_publishing.cc
@@ -43,40 +43,42 @@
   if (now - published_peers_at_ < kPeersInterval) {
     return;
   }
-  const size_t possibly_active = roster_.CountPossiblyActive(now);
-  if (!roster_.TakeChanged(now) && possibly_active == published_at_work_) {
+  const size_t possibly_active = peer_table_.CountPossiblyActive(now);
+  if (!peer_table_.TakeChanged(now) &&
+      possibly_active == published_possibly_active_) {
     return;
   }
-  std::vector<daemon_record> living = roster_.ListAlive(now);
+  std::vector<daemon_record> living = peer_table_.ListAlive(now);
   published_peers_at_ = now;
-  published_at_work_ = possibly_active;
-  NotePeerChanges(living);
-  duty_.OnPeers(options_.self, living);
+  published_possibly_active_ = possibly_active;
+  RecordPeerChanges(living);
+  follower_policy_.OnPeers(options_.self, living);
   services_.FindPort<fleet_event>(kEdgeService)
       .Post(peers_changed{.alive = living,
-                          .known = roster_.CountKnown(),
+                          .known = peer_table_.CountKnown(),
                           .possibly_active = possibly_active,
-                          .convergence_time = roster_.ConvergenceTime(),
-                          .is_partial = roster_.IsPartial()});
+                          .convergence_time = peer_table_.ConvergenceTime(),
+                          .is_partial = peer_table_.IsPartial()});
   published_peers_ = std::move(living);
 }
 
 void fleet_task::PublishStaleness(time_point now) {
   const duration staleness = staleness_.Staleness(now);
-  const bool is_stale = feed_.view().HasRead() && staleness > kStoreFresh;
+  const bool is_stale =
+      item_watcher_.view().HasRead() && staleness > kStoreFresh;
   if (std::exchange(is_stale_, is_stale) == is_stale) {
     return;
   }
-  with_.log.Write(log_class::kBelief,
-                  log_line(is_stale ? "items_stale" : "items_current")
-                      .Add("staleness_ms", staleness)
-                      .Add("revision", feed_.view().revision())
-                      .Add("follows", feed_.IsFollowing()));
+  parts_.log.Write(log_class::kBelief,
+                   log_line(is_stale ? "items_stale" : "items_current")
+                       .Add("staleness_ms", staleness)
+                       .Add("revision", item_watcher_.view().revision())
+                       .Add("follows", item_watcher_.IsFollowing()));
   services_.FindPort<fleet_event>(kEdgeService)
       .Post(items_staleness{.is_stale = is_stale});
 }
 
-void fleet_task::NotePeerChanges(std::span<const daemon_record> living) {
+void fleet_task::RecordPeerChanges(std::span<const daemon_record> living) {
   auto before = published_peers_.begin();
   auto after = living.begin();
   while (before != published_peers_.end() || after != living.end()) {
@@ -99,7 +101,7 @@
   }
 }
 
-static void LogKnowledge(event_log& log, const fleet_snapshot& knowledge) {
+static void LogSnapshot(event_log& log, const fleet_snapshot& knowledge) {
   std::string weights;
   for (const weights_version& item : knowledge.wanted_weights) {
     weights += (weights.empty() ? "" : " ") + item.model + "=" +
@@ -116,53 +118,53 @@
 }
 
 void fleet_task::LogSuspicions() {
-  const std::vector<std::string> suspected = roster_.TakeSuspected();
+  const std::vector<std::string> suspected = peer_table_.TakeSuspected();
   if (!suspected.empty()) {
-    with_.log.Write(log_class::kBelief, log_line("peers_suspected")
-                                            .Add("count", suspected.size())
-                                            .Add("first", suspected.front()));
+    parts_.log.Write(log_class::kBelief, log_line("peers_suspected")
+                                             .Add("count", suspected.size())
+                                             .Add("first", suspected.front()));
   }
-  const uint32_t version = roster_.self_version();
+  const uint32_t version = peer_table_.self_version();
   if (version != logged_version_) {
     logged_version_ = version;
-    with_.log.Write(log_class::kBelief,
-                    log_line("own_record_renewed")
-                        .Add("version", version)
-                        .Add("ready", options_.self.is_ready)
-                        .Add("leaving", options_.self.is_leaving));
+    parts_.log.Write(log_class::kBelief,
+                     log_line("own_record_renewed")
+                         .Add("version", version)
+                         .Add("ready", options_.self.is_ready)
+                         .Add("leaving", options_.self.is_leaving));
   }
 }
 
 void fleet_task::LogListChanges(time_point now) {
   log_line peers("peers_changed");
   if (peer_changes_.TakeInto(now, peers)) {
-    with_.log.Write(log_class::kBelief, peers);
+    parts_.log.Write(log_class::kBelief, peers);
   }
   log_line upstreams("upstreams_changed");
-  upstreams.Add("revision", feed_.view().revision());
+  upstreams.Add("revision", item_watcher_.view().revision());
   if (upstream_changes_.TakeInto(now, upstreams)) {
-    with_.log.Write(log_class::kBelief, upstreams);
+    parts_.log.Write(log_class::kBelief, upstreams);
   }
   log_line kept("upstreams_kept");
-  kept.Add("revision", feed_.view().revision())
-      .Add("awaited_return", logged_return_);
-  if (kept_changes_.TakeInto(now, kept)) {
-    with_.log.Write(log_class::kBelief, kept);
+  kept.Add("revision", item_watcher_.view().revision())
+      .Add("awaited_return", logged_recovery_);
+  if (retained_changes_.TakeInto(now, kept)) {
+    parts_.log.Write(log_class::kBelief, kept);
   }
 }
 
-void fleet_task::LogAwaited(time_point now) {
-  const store_recovery awaited = lapsed_.Recovery(now);
+void fleet_task::LogStoreRecovery(time_point now) {
+  const store_recovery awaited = store_outage_.Recovery(now);
   if (awaited.event == 0 ||
-      std::exchange(logged_return_, awaited.event) == awaited.event) {
+      std::exchange(logged_recovery_, awaited.event) == awaited.event) {
     return;
   }
-  with_.log.Write(log_class::kBelief,
-                  log_line("entries_awaited")
-                      .Add("return", awaited.event)
-                      .Add("left_ms", awaited.left)
-                      .Add("up_to", awaited.revision)
-                      .Add("revision", feed_.view().revision()));
+  parts_.log.Write(log_class::kBelief,
+                   log_line("entries_awaited")
+                       .Add("return", awaited.event)
+                       .Add("left_ms", awaited.left)
+                       .Add("up_to", awaited.revision)
+                       .Add("revision", item_watcher_.view().revision()));
 }
 
 void fleet_task::PublishUpstreams() {
@@ -170,9 +172,9 @@
     const std::string text =
         item.id + "/removed_at_" + std::to_string(item.revision);
     if (item.is_retained) {
-      kept_changes_.Add(text);
+      retained_changes_.Add(text);
     } else {
-      kept_changes_.Remove(text);
+      retained_changes_.Remove(text);
     }
   }
   std::vector<upstream_change> changes = upstreams_.TakeChanges();
@@ -192,33 +194,33 @@
   services_.FindPort<fleet_event>(kEdgeService)
       .Post(upstreams_changed{.changes = std::move(changes),
                               .unreadable = unreadable,
-                              .revision = feed_.view().revision()});
+                              .revision = item_watcher_.view().revision()});
 }
 
 void fleet_task::Publish(std::shared_ptr<const fleet_snapshot> next) {
-  const bool is_new_plan = knowledge_ == nullptr ||
-                           knowledge_->config != next->config ||
-                           knowledge_->wanted_weights != next->wanted_weights;
-  const bool is_other_order = is_new_plan || knowledge_->leader != next->leader;
+  const bool is_new_plan = snapshot_ == nullptr ||
+                           snapshot_->config != next->config ||
+                           snapshot_->wanted_weights != next->wanted_weights;
+  const bool is_other_order = is_new_plan || snapshot_->leader != next->leader;
   const bool has_other_daemons =
-      knowledge_ == nullptr || knowledge_->daemons != next->daemons;
+      snapshot_ == nullptr || snapshot_->daemons != next->daemons;
   if (!is_other_order && !has_other_daemons &&
-      knowledge_->quarantined == next->quarantined) {
+      snapshot_->quarantined == next->quarantined) {
     return;
   }
-  knowledge_ = next;
+  snapshot_ = next;
   if (has_other_daemons) {
-    roster_.SetListed(next->daemons);
+    peer_table_.SetListed(next->daemons);
   }
   if (is_other_order) {
-    LogKnowledge(with_.log, *next);
+    LogSnapshot(parts_.log, *next);
   }
   services_.FindPort<fleet_event>(kEdgeService)
       .Post(fleet_snapshot_changed{.snapshot = std::move(next)});
   RunRollout(ReadBootClock());
   if (is_new_plan) {
     // Peers that the store turns away learn it from here.
-    Announce();
+    BroadcastHeartbeat();
   }
 }
 
--- a/lib/Fleet/fleet_task.cc
+++ b/lib/Fleet/fleet_task.cc
@@ -16,7 +16,7 @@
 static constexpr duration kRolloutInterval = std::chrono::milliseconds(50);
 /// An entry outlives three intervals without a sign of its upstream, of which
 /// one may have passed before the store went away.
-static constexpr int kIntervalsToLapse = 2;
+static constexpr int kIntervalsToExpiry = 2;
 /// Claims to the lead are spread over this.
 static constexpr uint64_t kClaimSpreadMs = 400;
 
@@ -27,24 +27,24 @@
     : loop_task(base),
       services_(services),
       options_(std::move(opts)),
-      with_(with),
-      roster_({.self_name = options_.self.name,
-               .self_incarnation = options_.self.incarnation,
-               .self_address = options_.self.peer_address,
-               .self_domain = options_.self.failure_domain,
-               .seeds = options_.seeds}),
-      feed_(base,
-            with.store,
-            with.log,
-            {.on_change =
-                 [this](std::span<const std::string> keys) {
-                   OnItemsChanged(keys);
-                 },
-             .on_answer =
-                 [this](time_point at, revision_number revision) {
-                   staleness_.OnStoreAnswer(at);
-                   lapsed_.OnStoreAnswer(at, revision);
-                 }}),
+      parts_(with),
+      peer_table_({.self_name = options_.self.name,
+                   .self_incarnation = options_.self.incarnation,
+                   .self_address = options_.self.peer_address,
+                   .self_domain = options_.self.failure_domain,
+                   .seeds = options_.seeds}),
+      item_watcher_(base,
+                    with.store,
+                    with.log,
+                    {.on_change =
+                         [this](std::span<const std::string> keys) {
+                           OnItemsChanged(keys);
+                         },
+                     .on_reply =
+                         [this](time_point at, revision_number revision) {
+                           staleness_.OnStoreReply(at);
+                           store_outage_.OnStoreReply(at, revision);
+                         }}),
       election_({.self_name = options_.self.name,
                  .key = options_.leader_key,
                  .handover_gap = options_.leader_gap,
@@ -53,14 +53,15 @@
                      kClaimSpreadMs)},
                 with.store),
       staleness_(Hash64(options_.self.name)),
-      lapsed_({.self = Hash64(options_.self.name, options_.self.incarnation),
-               .least_outage = std::max<duration>(
-                   kStoreFresh,
-                   options_.upstream_interval * kIntervalsToLapse)}),
+      store_outage_(
+          {.self = Hash64(options_.self.name, options_.self.incarnation),
+           .min_outage = std::max<duration>(
+               kStoreFresh,
+               options_.upstream_interval * kIntervalsToExpiry)}),
       quarantine_records_(
           {.prefix = options_.quarantine_prefix, .author = options_.self.name},
           with.store),
-      beat_timer_(base, [this] { OnTick(); }),
+      heartbeat_timer_(base, [this] { OnTick(); }),
       rollout_timer_(base, [this] { RunRollout(ReadBootClock()); }) {}
 
 void fleet_task::Start() {
@@ -69,7 +70,7 @@
       peer_transport::options{.listen = options_.self.peer_address,
                               .idle_timeout = std::chrono::seconds(5)},
       *this);
-  feed_.Start();
+  item_watcher_.Start();
   OnTick();
 }
 
@@ -81,7 +82,7 @@
   if (auto* own = std::get_if<own_placements>(&message)) {
     own_backlogs_ = std::move(own->backlogs);
     own_mix_ = own->mix;
-    placement_news_.Add(own->prefixes);
+    placement_log_.Add(own->prefixes);
     return;
   }
   if (auto* limits = std::get_if<own_limits>(&message)) {
@@ -89,7 +90,7 @@
     return;
   }
   if (auto* quarantine = std::get_if<own_quarantine>(&message)) {
-    crash_bulletin_.Add(*quarantine);
+    crash_updates_.Add(*quarantine);
     quarantined_ = std::move(quarantine->quarantined);
     RecordQuarantines(ReadBootClock());
     return;
@@ -109,19 +110,20 @@
     options_.self.is_ready = false;
     election_.Resign();
   }
-  roster_.IncrementSelfVersion();
-  Announce();
+  peer_table_.IncrementSelfVersion();
+  BroadcastHeartbeat();
 }
 
 bool fleet_task::OnFrame(std::span<const uint8_t> bytes) {
   const std::optional<peer_frame> frame = DecodePeerFrame(bytes);
   if (!frame) {
-    with_.log.Write(log_class::kLifecycle,
-                    log_line("peer_frame_malformed").Add("size", bytes.size()));
+    parts_.log.Write(
+        log_class::kLifecycle,
+        log_line("peer_frame_malformed").Add("size", bytes.size()));
     return false;
   }
   if (const auto* beat = std::get_if<heartbeat_frame>(&*frame)) {
-    OnBeat(*beat);
+    OnHeartbeatFrame(*beat);
   } else if (const auto* request = std::get_if<items_request_frame>(&*frame)) {
     OnItemsRequest(*request);
   } else if (const auto* ask = std::get_if<quota_query>(&*frame)) {
@@ -134,14 +136,15 @@
   return true;
 }
 
-void fleet_task::OnBeat(const heartbeat_frame& beat) {
+void fleet_task::OnHeartbeatFrame(const heartbeat_frame& beat) {
   const time_point now = ReadBootClock();
-  const bool is_news = roster_.OnHeartbeat(now, beat);
+  const bool is_news = peer_table_.OnHeartbeat(now, beat);
   if (beat.freshness) {
-    staleness_.OnPeer(now, *beat.freshness,
-                      beat.sender.revision > feed_.view().revision());
+    staleness_.OnPeerReport(
+        now, *beat.freshness,
+        beat.sender.revision > item_watcher_.view().revision());
   }
-  lapsed_.OnPeer(now, beat.sender.recovery, beat.freshness);
+  store_outage_.OnPeerReport(now, beat.sender.recovery, beat.freshness);
   if (!beat.changing.empty()) {
     leader_changing_ = beat.changing;
     leader_changing_at_ = now;
@@ -157,8 +160,8 @@
         .Post(peer_limits{.peer = beat.sender.name, .limits = beat.limits});
   }
   if (!beat.quarantine.IsEmpty()) {
-    if (roster_.IsPartial()) {
-      crash_bulletin_.Relay(now, beat.quarantine);
+    if (peer_table_.IsPartial()) {
+      crash_updates_.Relay(now, beat.quarantine);
     }
     services_.FindPort<fleet_event>(kEdgeService)
         .Post(peer_quarantine{.update = beat.quarantine});
@@ -170,22 +173,23 @@
   // It has just started, and learns from this who has the items; or it learns
   // that others take it for gone.
   const bool wants_answer =
-      (awaits_list && feed_.view().HasRead()) ||
-      roster_.MustNotifySuspected(beat.sender.peer_address);
-  if (wants_answer && roster_.TryReserveReply(now, beat.sender.peer_address)) {
-    SendBeat(beat.sender.peer_address);
+      (awaits_list && item_watcher_.view().HasRead()) ||
+      peer_table_.MustNotifySuspected(beat.sender.peer_address);
+  if (wants_answer &&
+      peer_table_.TryReserveReply(now, beat.sender.peer_address)) {
+    SendHeartbeat(beat.sender.peer_address);
   }
-  AskPeers(now);
+  RequestItems(now);
 }
 
 void fleet_task::OnItemsRequest(const items_request_frame& request) {
-  const item_view& view = feed_.view();
+  const item_view& view = item_watcher_.view();
   if (!view.HasRead()) {
     return;
   }
   if (request.after == 0 || !view.HasHistorySince(request.after)) {
     transport_->Send(request.reply_to,
-                     complete_list_.Get(ReadBootClock(), view, request.after));
+                     item_list_.Get(ReadBootClock(), view, request.after));
     return;
   }
   transport_->Send(request.reply_to,
@@ -196,28 +200,29 @@
 }
 
 void fleet_task::OnItemsReply(const items_reply_frame& reply) {
-  questions_.OnAnswered();
-  feed_.OnPeerItems(reply, {.peer = questions_.peer(),
-                            .took = ReadBootClock() - questions_.asked_at()});
+  items_requests_.OnReply();
+  item_watcher_.OnPeerItems(
+      reply, {.peer = items_requests_.peer(),
+              .took = ReadBootClock() - items_requests_.asked_at()});
 }
 
-void fleet_task::SendBeat(const endpoint& to) {
+void fleet_task::SendHeartbeat(const endpoint& to) {
   const time_point now = ReadBootClock();
   daemon_record self = options_.self;
-  self.version = roster_.self_version();
-  self.revision = feed_.view().relay_revision();
-  self.has_store = feed_.IsFresh(now, kStoreFresh);
-  self.recovery = lapsed_.Recovery(now);
+  self.version = peer_table_.self_version();
+  self.revision = item_watcher_.view().relay_revision();
+  self.has_store = item_watcher_.IsFresh(now, kStoreFresh);
+  self.recovery = store_outage_.Recovery(now);
   heartbeat_frame beat{.sender = self,
-                       .recent_peers = roster_.SampleAlive(now),
+                       .recent_peers = peer_table_.SampleAlive(now),
                        .changing = {},
                        .backlogs = own_backlogs_,
-                       .prefixes = placement_news_.TakeFor(to),
+                       .prefixes = placement_log_.TakeFor(to),
                        .mix = own_mix_,
                        .limits = own_limits_.limits,
-                       .quarantine = crash_bulletin_.TakeFor(now, to),
-                       .is_watched = roster_.IsWatcher(to),
-                       .members = roster_.TakeMemberUpdates(now, to),
+                       .quarantine = crash_updates_.TakeFor(now, to),
+                       .is_watched = peer_table_.IsWatcher(to),
+                       .members = peer_table_.TakeMemberUpdates(now, to),
                        .freshness = staleness_.MostRecent(now)};
   for (limit_update& item : beat.limits) {
     item.age += now - own_limits_.at;
@@ -228,54 +233,54 @@
   transport_->Send(to, EncodePeerFrame(beat));
 }
 
-void fleet_task::Announce() {
-  for (const endpoint& to : roster_.ListReachable(ReadBootClock())) {
-    SendBeat(to);
+void fleet_task::BroadcastHeartbeat() {
+  for (const endpoint& to : peer_table_.ListReachable(ReadBootClock())) {
+    SendHeartbeat(to);
   }
 }
 
 void fleet_task::OnTick() {
-  beat_timer_.Start(peer_table::kHeartbeatInterval);
+  heartbeat_timer_.Start(peer_table::kHeartbeatInterval);
   const time_point now = ReadBootClock();
-  for (const endpoint& to : roster_.ChooseTargets(now)) {
-    SendBeat(to);
+  for (const endpoint& to : peer_table_.ChooseTargets(now)) {
+    SendHeartbeat(to);
   }
   PublishStaleness(now);
   PublishPeers(now);
-  DecideFollowing(now);
-  AskPeers(now);
+  UpdateFollowing(now);
+  RequestItems(now);
   RegisterSelf();
   RecordQuarantines(now);
-  if (upstreams_.HasRetained() && !lapsed_.IsStoreUnavailable(now)) {
-    upstreams_.Expire(now, lapsed_.Window());
+  if (upstreams_.HasRetained() && !store_outage_.IsStoreUnavailable(now)) {
+    upstreams_.Expire(now, store_outage_.Window());
     PublishUpstreams();
   }
   RunRollout(now);
-  LogAwaited(now);
+  LogStoreRecovery(now);
   LogListChanges(now);
   LogSuspicions();
 }
 
-void fleet_task::AskPeers(time_point now) {
+void fleet_task::RequestItems(time_point now) {
   // While the first pages come from the store a peer's packed list is there
   // sooner: in a fleet that starts, all read at the same time.
-  const bool is_told_by_store = feed_.view().HasRead() && feed_.IsFollowing() &&
-                                !feed_.IsLost() &&
-                                feed_.IsFresh(now, kStoreFresh);
-  if (!questions_.MayAsk(now) || is_told_by_store) {
+  const bool is_told_by_store =
+      item_watcher_.view().HasRead() && item_watcher_.IsFollowing() &&
+      !item_watcher_.HasFailed() && item_watcher_.IsFresh(now, kStoreFresh);
+  if (!items_requests_.MaySend(now) || is_told_by_store) {
     return;
   }
-  const revision_number revision = feed_.view().revision();
-  if (questions_.IsWaiting()) {
-    with_.log.Write(log_class::kBelief,
-                    log_line("question_unanswered")
-                        .Add("peer", questions_.peer())
-                        .Add("after_ms", now - questions_.asked_at()));
-    questions_.OnAnswered();
+  const revision_number revision = item_watcher_.view().revision();
+  if (items_requests_.IsPending()) {
+    parts_.log.Write(log_class::kBelief,
+                     log_line("question_unanswered")
+                         .Add("peer", items_requests_.peer())
+                         .Add("after_ms", now - items_requests_.asked_at()));
+    items_requests_.OnReply();
   }
   if (const daemon_record* ahead =
-          roster_.FindAhead(now, revision, questions_.turn())) {
-    questions_.OnAsked(now, ahead->name);
+          peer_table_.FindAhead(now, revision, items_requests_.turn())) {
+    items_requests_.OnSent(now, ahead->name);
     transport_->Send(
         ahead->peer_address,
         EncodePeerFrame(items_request_frame{
@@ -286,32 +291,33 @@
 void fleet_task::RegisterSelf() {
   const time_point now = ReadBootClock();
   if (is_registered_ || is_registering_ || now < next_registration_ ||
-      !feed_.view().HasRead()) {
+      !item_watcher_.view().HasRead()) {
     return;
   }
   is_registering_ = true;
-  with_.store.Write({.key = options_.daemons_prefix + options_.self.name,
-                     .value = options_.self.peer_address.ToString(),
-                     .expected = std::nullopt},
-                    [this](const store_write& written) {
-                      is_registering_ = false;
-                      is_registered_ = written.status == store_status::kDone;
-                      next_registration_ = ReadBootClock() + kRegistrationRetry;
-                    });
+  parts_.store.Write({.key = options_.daemons_prefix + options_.self.name,
+                      .value = options_.self.peer_address.ToString(),
+                      .expected = std::nullopt},
+                     [this](const store_write& written) {
+                       is_registering_ = false;
+                       is_registered_ = written.status == store_status::kDone;
+                       next_registration_ =
+                           ReadBootClock() + kRegistrationRetry;
+                     });
 }
 
 void fleet_task::RecordQuarantines(time_point now) {
-  if (knowledge_ != nullptr) {
-    quarantine_records_.OnTick(now, quarantined_, knowledge_->quarantined);
+  if (snapshot_ != nullptr) {
+    quarantine_records_.OnTick(now, quarantined_, snapshot_->quarantined);
   }
 }
 
 void fleet_task::OnItemsChanged(std::span<const std::string> keys) {
-  decoded_items decoded = with_.decoder.Decode(feed_.view(), keys);
-  feed_.MarkForRelay(decoded.changed_keys);
+  decoded_items decoded = parts_.decoder.Decode(item_watcher_.view(), keys);
+  item_watcher_.MarkForRelay(decoded.changed_keys);
   const time_point now = ReadBootClock();
   for (const upstream_entry_update& news : decoded.upstreams) {
-    upstreams_.Apply(now, news, lapsed_.Window());
+    upstreams_.Apply(now, news, store_outage_.Window());
   }
   // Before a first configuration, with which the daemon begins to serve.
   PublishUpstreams();
@@ -322,30 +328,30 @@
   }
 }
 
-void fleet_task::DecideFollowing(time_point now) {
-  feed_.SetFollowing(
-      duty_.ShouldFollow(now, {.self = options_.self,
-                               .alive = published_peers_,
-                               .staleness = staleness_,
-                               .answered_at = feed_.answered_at(),
-                               .failed_at = feed_.failed_at(),
-                               .known = roster_.CountKnown()}));
+void fleet_task::UpdateFollowing(time_point now) {
+  item_watcher_.SetFollowing(follower_policy_.ShouldFollow(
+      now, {.self = options_.self,
+            .alive = published_peers_,
+            .staleness = staleness_,
+            .last_reply_at = item_watcher_.last_reply_at(),
+            .last_failure_at = item_watcher_.last_failure_at(),
+            .known = peer_table_.CountKnown()}));
 }
 
 void fleet_task::RunRollout(time_point now) {
-  if (knowledge_ == nullptr || !feed_.view().HasRead()) {
+  if (snapshot_ == nullptr || !item_watcher_.view().HasRead()) {
     return;
   }
   // Those that follow the store know first that there is no leader.
-  if (feed_.IsFollowing() || election_.IsLeading(now)) {
-    election_.OnTick(now, knowledge_->leader);
+  if (item_watcher_.IsFollowing() || election_.IsLeading(now)) {
+    election_.OnTick(now, snapshot_->leader);
   }
   const bool is_leading = election_.IsLeading(now);
   if (is_leading != was_leading_) {
     was_leading_ = is_leading;
-    with_.log.Write(log_class::kLifecycle,
-                    log_line(is_leading ? "lead_taken" : "lead_lost")
-                        .Add("fence", election_.fence()));
+    parts_.log.Write(log_class::kLifecycle,
+                     log_line(is_leading ? "lead_taken" : "lead_lost")
+                         .Add("fence", election_.fence()));
   }
   if (!election_.MaySendCommand(now)) {
     rollout_.Clear();
@@ -353,11 +359,11 @@
     return;
   }
   const std::vector<rollout_step> steps =
-      rollout_.OnTick(now, knowledge_->wanted_weights, upstreams_);
+      rollout_.OnTick(now, snapshot_->wanted_weights, upstreams_);
   PublishChanging();
   if (!steps.empty()) {
     // Before the orders, so that no peer sends a request into a change.
-    Announce();
+    BroadcastHeartbeat();
   }
   for (const rollout_step& step : steps) {
     Perform(step);
@@ -369,7 +375,7 @@
 
 void fleet_task::Perform(const rollout_step& step) {
   if (!step.command) {
-    with_.engines.QueryState(
+    parts_.engines.QueryState(
         step, [this, step](const std::optional<engine_report>& report) {
           OnEngineReport(step, report);
         });
@@ -382,18 +388,18 @@
                              command_result::kConflict);
     return;
   }
-  with_.log.Write(log_class::kBelief,
-                  log_line("order_sent")
-                      .Add("upstream", step.upstream)
-                      .Add("model", step.command->weights.model)
-                      .Add("version", step.command->weights.version)
-                      .Add("accepted_orders", step.command->accepted_orders)
-                      .Add("fence", election_.fence()));
-  with_.engines.SendCommand(
+  parts_.log.Write(log_class::kBelief,
+                   log_line("order_sent")
+                       .Add("upstream", step.upstream)
+                       .Add("model", step.command->weights.model)
+                       .Add("version", step.command->weights.version)
+                       .Add("accepted_orders", step.command->accepted_orders)
+                       .Add("fence", election_.fence()));
+  parts_.engines.SendCommand(
       step, election_.fence(), [this, step](command_result end) {
-        with_.log.Write(log_class::kBelief, log_line("order_ended")
-                                                .Add("upstream", step.upstream)
-                                                .Add("end", ToString(end)));
+        parts_.log.Write(log_class::kBelief, log_line("order_ended")
+                                                 .Add("upstream", step.upstream)
+                                                 .Add("end", ToString(end)));
         rollout_.OnCommandResult(ReadBootClock(), step.upstream, end);
       });
 }
--- a/lib/Fleet/follower_selection.cc
+++ b/lib/Fleet/follower_selection.cc
@@ -12,12 +12,12 @@
 
 /// In a fleet of up to this size each daemon follows the store; the calls are
 /// a few hundred in a minute.
-static constexpr size_t kFleetThatFollows = 12;
+static constexpr size_t kSmallFleetSize = 12;
 /// Two, so that the loss of one is not noticed. Where there are so many
 /// domains, one: those of the other domains are asked until another one
 /// follows.
 static constexpr size_t kFollowersPerDomain = 2;
-static constexpr size_t kDomainsForOneEach = 6;
+static constexpr size_t kDomainsForSingleFollower = 6;
 
 static size_t CountDomains(const daemon_record& self,
                            std::span<const daemon_record> living) {
@@ -30,8 +30,9 @@
 
 size_t FollowersPerDomain(const daemon_record& self,
                           std::span<const daemon_record> living) {
-  return CountDomains(self, living) >= kDomainsForOneEach ? 1
-                                                          : kFollowersPerDomain;
+  return CountDomains(self, living) >= kDomainsForSingleFollower
+             ? 1
+             : kFollowersPerDomain;
 }
 
 bool RanksFirst(const daemon_record& self,
@@ -50,7 +51,7 @@
 
 bool FollowsStore(const daemon_record& self,
                   std::span<const daemon_record> living) {
-  return living.size() + 1 <= kFleetThatFollows ||
+  return living.size() + 1 <= kSmallFleetSize ||
          RanksFirst(self, living, FollowersPerDomain(self, living));
 }
 
--- a/lib/Fleet/item_list_cache.cc
+++ b/lib/Fleet/item_list_cache.cc
@@ -6,13 +6,13 @@
 namespace cuminswitch {
 
 /// Within which a list is handed out again.
-static constexpr duration kListTime = std::chrono::seconds(1);
+static constexpr duration kCacheLifetime = std::chrono::seconds(1);
 
 const std::string& item_list_cache::Get(time_point now,
                                         const item_view& view,
                                         revision_number after) {
   const bool is_usable =
-      !frame_.empty() && now - made_at_ < kListTime && revision_ > after;
+      !frame_.empty() && now - made_at_ < kCacheLifetime && revision_ > after;
   if (is_usable) {
     return frame_;
   }
--- a/lib/Fleet/item_view.cc
+++ b/lib/Fleet/item_view.cc
@@ -7,10 +7,10 @@
 
 /// Memories kept of items that went. A release replaces a few dozen upstreams;
 /// a peer that is further behind gets everything instead.
-static constexpr size_t kMaxGoneItems = 512;
+static constexpr size_t kMaxRemovedItems = 512;
 /// News that are found without a walk over all items. A thousand upstreams that
 /// crash and return make twice as many.
-static constexpr size_t kMaxRecentNews = 4096;
+static constexpr size_t kMaxRecentChanges = 4096;
 
 static item_change MakeChange(const std::string& key,
                               const item_view::entry& known) {
@@ -23,8 +23,8 @@
   if (change.revision <= known.revision && known.revision != 0) {
     return false;
   }
-  const bool was_gone = !is_new && !known.value;
-  gone_count_ += (change.value ? 0 : 1) - (was_gone ? 1 : 0);
+  const bool was_removed = !is_new && !known.value;
+  removed_count_ += (change.value ? 0 : 1) - (was_removed ? 1 : 0);
   known.value = change.value;
   known.revision = change.revision;
   return true;
@@ -44,17 +44,17 @@
     if (known.value && known.revision <= at && !listed.contains(key)) {
       known.value.reset();
       known.revision = at;
-      ++gone_count_;
+      ++removed_count_;
       changed.push_back(key);
     }
   }
   if (!HasRead()) {
     // What went before the first list is not in it.
-    forgotten_ = std::max(forgotten_, at);
+    pruned_up_to_ = std::max(pruned_up_to_, at);
   }
   revision_ = std::max(revision_, at);
-  news_revision_ = std::max<revision_number>(news_revision_, 1);
-  Forget(changed);
+  relay_revision_ = std::max<revision_number>(relay_revision_, 1);
+  PruneRemoved(changed);
   return changed;
 }
 
@@ -68,8 +68,8 @@
     }
   }
   revision_ = std::max(revision_, at);
-  news_revision_ = std::max<revision_number>(news_revision_, 1);
-  Forget(changed);
+  relay_revision_ = std::max<revision_number>(relay_revision_, 1);
+  PruneRemoved(changed);
   return changed;
 }
 
@@ -80,19 +80,19 @@
   }
   entry& known = found->second;
   known.relay_revision = known.revision;
-  news_revision_ = std::max(news_revision_, known.revision);
-  if (known.revision <= recent_since_) {
+  relay_revision_ = std::max(relay_revision_, known.revision);
+  if (known.revision <= recent_changes_since_) {
     return;
   }
-  recent_.emplace(known.revision, key);
-  if (recent_.size() > kMaxRecentNews) {
-    recent_since_ = recent_.begin()->first;
-    recent_.erase(recent_.begin());
+  recent_changes_.emplace(known.revision, key);
+  if (recent_changes_.size() > kMaxRecentChanges) {
+    recent_changes_since_ = recent_changes_.begin()->first;
+    recent_changes_.erase(recent_changes_.begin());
   }
 }
 
-void item_view::Forget(std::vector<std::string>& changed) {
-  if (gone_count_ <= kMaxGoneItems) {
+void item_view::PruneRemoved(std::vector<std::string>& changed) {
+  if (removed_count_ <= kMaxRemovedItems) {
     return;
   }
   std::vector<revision_number> gone;
@@ -102,17 +102,17 @@
     }
   }
   const auto middle = gone.begin() + static_cast<std::ptrdiff_t>(
-                                         gone.size() - kMaxGoneItems / 2);
+                                         gone.size() - kMaxRemovedItems / 2);
   std::nth_element(gone.begin(), middle, gone.end());
-  forgotten_ = std::max(forgotten_, *middle);
+  pruned_up_to_ = std::max(pruned_up_to_, *middle);
   std::erase_if(entries_, [&](const auto& item) {
     const auto& [key, known] = item;
-    const bool is_forgotten = !known.value && known.revision <= forgotten_;
-    if (is_forgotten) {
+    const bool is_pruned = !known.value && known.revision <= pruned_up_to_;
+    if (is_pruned) {
       changed.push_back(key);
-      --gone_count_;
+      --removed_count_;
     }
-    return is_forgotten;
+    return is_pruned;
   });
 }
 
@@ -128,7 +128,7 @@
 std::vector<item_change> item_view::ListRelayedSince(
     revision_number revision) const {
   std::vector<item_change> changes;
-  if (revision < recent_since_) {
+  if (revision < recent_changes_since_) {
     for (const auto& [key, known] : entries_) {
       if (known.relay_revision > revision) {
         changes.push_back(MakeChange(key, known));
@@ -136,8 +136,8 @@
     }
     return changes;
   }
-  for (auto news = recent_.lower_bound({revision + 1, {}});
-       news != recent_.end(); ++news) {
+  for (auto news = recent_changes_.lower_bound({revision + 1, {}});
+       news != recent_changes_.end(); ++news) {
     const auto& [told, key] = *news;
     const auto found = entries_.find(key);
     if (found != entries_.end() && found->second.relay_revision == told) {
--- a/lib/Fleet/item_watcher.cc
+++ b/lib/Fleet/item_watcher.cc
@@ -11,17 +11,17 @@
 
 /// A watch ends after this long without a change. A connection that has gone
 /// silent is noticed a little later, while beliefs may still be trusted.
-static constexpr std::chrono::milliseconds kWatchTime{1000};
+static constexpr std::chrono::milliseconds kWatchTimeout{1000};
 /// While the store is lost a watch only asks whether it is back. One that is
 /// not answered holds up the next for as long as it may take.
-static constexpr std::chrono::milliseconds kProbeTime{100};
+static constexpr std::chrono::milliseconds kProbeTimeout{100};
 /// Upstreams renew their items all the time, so a watch returns at once; the
 /// pause bounds the calls. What matters is late by this much at most.
 static constexpr duration kWatchPause = std::chrono::milliseconds(100);
-static constexpr duration kFirstRetry = std::chrono::milliseconds(100);
+static constexpr duration kMinRetryDelay = std::chrono::milliseconds(100);
 /// The store's rates are shared by all daemons, also by those that come back
 /// after a loss of power.
-static constexpr duration kLongestRetry = std::chrono::milliseconds(800);
+static constexpr duration kMaxRetryDelay = std::chrono::milliseconds(800);
 
 item_watcher::item_watcher(event_base* base,
                            item_store& store,
@@ -73,7 +73,7 @@
 }
 
 void item_watcher::Watch() {
-  store_.Watch(view_.revision(), is_lost_ ? kProbeTime : kWatchTime,
+  store_.Watch(view_.revision(), has_failed_ ? kProbeTimeout : kWatchTimeout,
                [this, alive = alive_](const store_items& answer) {
                  if (*alive) {
                    OnItems(false, answer);
@@ -94,7 +94,7 @@
     return;
   }
   OnSuccess();
-  handlers_.on_answer(answered_at_, answer.revision);
+  handlers_.on_reply(last_reply_at_, answer.revision);
   must_read_all_ = false;
   const std::vector<std::string> changed =
       is_complete ? view_.ApplyAll(answer.items, answer.revision)
@@ -112,18 +112,18 @@
 }
 
 void item_watcher::OnSuccess() {
-  answered_at_ = ReadBootClock();
-  pause_ = duration(0);
-  if (std::exchange(is_lost_, false)) {
+  last_reply_at_ = ReadBootClock();
+  retry_delay_ = duration(0);
+  if (std::exchange(has_failed_, false)) {
     log_.Write(log_class::kLifecycle,
                log_line("dependency_regained").Add("dependency", "store"));
   }
 }
 
 void item_watcher::OnFailure(store_status end) {
-  pause_ = std::clamp(pause_ * 2, kFirstRetry, kLongestRetry);
-  failed_at_ = ReadBootClock();
-  if (!std::exchange(is_lost_, true)) {
+  retry_delay_ = std::clamp(retry_delay_ * 2, kMinRetryDelay, kMaxRetryDelay);
+  last_failure_at_ = ReadBootClock();
+  if (!std::exchange(has_failed_, true)) {
     log_.Write(log_class::kLifecycle, log_line("dependency_lost")
                                           .Add("dependency", "store")
                                           .Add("reason", ToString(end))
@@ -131,7 +131,8 @@
   }
   // What the call has taken counts: a store that is silent is asked as often as
   // one that refuses.
-  timer_.Start(std::max(duration(0), pause_ - (failed_at_ - called_at_)));
+  timer_.Start(
+      std::max(duration(0), retry_delay_ - (last_failure_at_ - called_at_)));
 }
 
 void item_watcher::OnPeerItems(const items_reply_frame& reply,
--- a/lib/Fleet/items_request_tracker.cc
+++ b/lib/Fleet/items_request_tracker.cc
@@ -4,20 +4,20 @@
 
 namespace cuminswitch {
 
-static constexpr duration kAskInterval = std::chrono::milliseconds(200);
+static constexpr duration kRequestInterval = std::chrono::milliseconds(200);
 /// An answer that is not there by then is taken for lost. A megabyte takes 0.8
 /// s on the slowest links that hosts have (10 Mbit/s).
-static constexpr duration kAnswerTime = std::chrono::seconds(1);
+static constexpr duration kReplyTimeout = std::chrono::seconds(1);
 
-bool items_request_tracker::MayAsk(time_point now) const {
-  return now - asked_at_ >= (is_waiting_ ? kAnswerTime : kAskInterval);
+bool items_request_tracker::MaySend(time_point now) const {
+  return now - sent_at_ >= (is_pending_ ? kReplyTimeout : kRequestInterval);
 }
 
-void items_request_tracker::OnAsked(time_point now, std::string peer) {
+void items_request_tracker::OnSent(time_point now, std::string peer) {
   peer_ = std::move(peer);
-  asked_at_ = now;
-  is_waiting_ = true;
-  ++turn_;
+  sent_at_ = now;
+  is_pending_ = true;
+  ++request_count_;
 }
 
 }  // namespace cuminswitch
--- a/lib/Fleet/leader_election.cc
+++ b/lib/Fleet/leader_election.cc
@@ -19,7 +19,7 @@
 }
 
 bool leader_election::MaySendCommand(time_point now) const {
-  return IsLeading(now) && now >= may_order_from_;
+  return IsLeading(now) && now >= commands_allowed_from_;
 }
 
 void leader_election::OnTick(time_point now, const std::string& leader) {
@@ -71,7 +71,7 @@
     if (written.status != store_status::kDone) {
       // A write without answer may have been done; then the key goes with the
       // lease, which nobody renews.
-      Lose();
+      DropLeadership();
       return;
     }
     fence_ = written.revision;
@@ -79,7 +79,7 @@
     next_call_ = asked_at + kRenewInterval;
     // The predecessor sent its last order before its lease ended, which was
     // before this key could be written.
-    may_order_from_ = now_ + options_.handover_gap;
+    commands_allowed_from_ = now_ + options_.handover_gap;
   };
   store_.Write({.key = options_.key,
                 .value = options_.self_name,
@@ -99,13 +99,13 @@
     if (answer.status == store_status::kDone) {
       valid_until_ = now + answer.time_to_live - kSafetyMargin;
     } else if (answer.status == store_status::kNoLease) {
-      Lose();
+      DropLeadership();
     }
   };
   store_.KeepLease(lease_, done);
 }
 
-void leader_election::Lose() {
+void leader_election::DropLeadership() {
   lease_ = 0;
   fence_ = 0;
   valid_until_ = {};
@@ -117,7 +117,7 @@
   if (lease_ != 0) {
     store_.EndLease(lease_);
   }
-  Lose();
+  DropLeadership();
 }
 
 }  // namespace cuminswitch
--- a/lib/Fleet/staleness_tracker.cc
+++ b/lib/Fleet/staleness_tracker.cc
@@ -5,46 +5,47 @@
 namespace cuminswitch {
 
 /// Witnesses that are not heard of for so long are forgotten.
-static constexpr duration kForgetWitness = std::chrono::seconds(10);
+static constexpr duration kReplyRetention = std::chrono::seconds(10);
 
-void staleness_tracker::OnStoreAnswer(time_point at) {
+void staleness_tracker::OnStoreReply(time_point at) {
   if (at > complete_at_) {
     complete_at_ = at;
-    witness_ = self_;
+    freshness_source_ = self_;
   }
 }
 
-void staleness_tracker::OnPeer(time_point now,
-                               const freshness_record& told,
-                               bool is_behind) {
+void staleness_tracker::OnPeerReport(time_point now,
+                                     const freshness_record& told,
+                                     bool is_behind) {
   if (told.daemon_hash == 0 || told.daemon_hash == self_) {
     return;
   }
   const time_point at = now - told.age;
-  time_point& known = answered_at_[told.daemon_hash];
+  time_point& known = last_reply_at_[told.daemon_hash];
   known = std::max(known, at);
-  std::erase_if(answered_at_, [&](const auto& item) {
-    return now - item.second > kForgetWitness;
+  std::erase_if(last_reply_at_, [&](const auto& item) {
+    return now - item.second > kReplyRetention;
   });
   if (!is_behind && at > complete_at_) {
     complete_at_ = at;
-    witness_ = told.daemon_hash;
+    freshness_source_ = told.daemon_hash;
   }
 }
 
 std::optional<freshness_record> staleness_tracker::MostRecent(
     time_point now) const {
-  if (witness_ == 0) {
+  if (freshness_source_ == 0) {
     return std::nullopt;
   }
-  return freshness_record{.daemon_hash = witness_, .age = Staleness(now)};
+  return freshness_record{.daemon_hash = freshness_source_,
+                          .age = Staleness(now)};
 }
 
 bool staleness_tracker::HasReachedStore(time_point now,
                                         uint64_t witness,
                                         duration span) const {
-  const auto found = answered_at_.find(witness);
-  return found != answered_at_.end() && now - found->second <= span;
+  const auto found = last_reply_at_.find(witness);
+  return found != last_reply_at_.end() && now - found->second <= span;
 }
 
 }  // namespace cuminswitch
--- a/lib/Fleet/store_outage_tracker.cc
+++ b/lib/Fleet/store_outage_tracker.cc
@@ -7,39 +7,39 @@
 namespace cuminswitch {
 
 /// Entries of upstreams that live are back this soon after the store's return.
-static constexpr duration kLapsedTime = std::chrono::seconds(2);
+static constexpr duration kRecoveryTime = std::chrono::seconds(2);
 
 bool store_outage_tracker::IsStoreUnavailable(time_point now) const {
-  return answered_at_ && now - *answered_at_ >= options_.least_outage;
+  return last_reply_at_ && now - *last_reply_at_ >= options_.min_outage;
 }
 
-void store_outage_tracker::OnReturn(const store_return& seen) {
-  const duration apart = std::chrono::abs(seen.at - return_.at);
-  if (return_.event == 0 || apart >= options_.least_outage) {
-    return_ = seen;
+void store_outage_tracker::OnRecovery(const observed_recovery& seen) {
+  const duration apart = std::chrono::abs(seen.at - recovery_.at);
+  if (recovery_.event == 0 || apart >= options_.min_outage) {
+    recovery_ = seen;
     return;
   }
   // Another daemon saw the same return. Delays make what is told later, never
   // earlier.
-  if (seen.at < return_.at) {
-    return_.event = seen.event;
-    return_.at = seen.at;
+  if (seen.at < recovery_.at) {
+    recovery_.event = seen.event;
+    recovery_.at = seen.at;
   }
-  return_.revision = std::min(return_.revision, seen.revision);
+  recovery_.revision = std::min(recovery_.revision, seen.revision);
 }
 
-void store_outage_tracker::OnStoreAnswer(time_point at,
-                                         revision_number revision) {
+void store_outage_tracker::OnStoreReply(time_point at,
+                                        revision_number revision) {
   if (IsStoreUnavailable(at)) {
     const auto stamp = static_cast<uint64_t>(at.time_since_epoch().count());
-    OnReturn({.event = CombineHash(options_.self, stamp),
-              .at = at,
-              .revision = revision});
+    OnRecovery({.event = CombineHash(options_.self, stamp),
+                .at = at,
+                .revision = revision});
   }
-  answered_at_ = std::max(answered_at_.value_or(at), at);
+  last_reply_at_ = std::max(last_reply_at_.value_or(at), at);
 }
 
-void store_outage_tracker::OnPeer(
+void store_outage_tracker::OnPeerReport(
     time_point now,
     const store_recovery& told,
     const std::optional<freshness_record>& evidence) {
@@ -47,25 +47,26 @@
   // have lapsed.
   if (told.event != 0 && told.revision != 0) {
     const time_point at =
-        now + std::clamp(told.left, duration(0), kLapsedTime) - kLapsedTime;
+        now + std::clamp(told.left, duration(0), kRecoveryTime) - kRecoveryTime;
     const bool is_known =
-        return_.event != 0 &&
-        std::chrono::abs(at - return_.at) < options_.least_outage;
-    if (is_known || !answered_at_ || IsStoreUnavailable(at)) {
-      OnReturn({.event = told.event, .at = at, .revision = told.revision});
+        recovery_.event != 0 &&
+        std::chrono::abs(at - recovery_.at) < options_.min_outage;
+    if (is_known || !last_reply_at_ || IsStoreUnavailable(at)) {
+      OnRecovery({.event = told.event, .at = at, .revision = told.revision});
     }
   }
   if (evidence && evidence->daemon_hash != 0) {
     const time_point at = now - evidence->age;
-    answered_at_ = std::max(answered_at_.value_or(at), at);
+    last_reply_at_ = std::max(last_reply_at_.value_or(at), at);
   }
 }
 
 recovery_window store_outage_tracker::Window() const {
-  if (return_.event == 0) {
+  if (recovery_.event == 0) {
     return {};
   }
-  return {.until = return_.at + kLapsedTime, .last_removal = return_.revision};
+  return {.until = recovery_.at + kRecoveryTime,
+          .last_removal = recovery_.revision};
 }
 
 store_recovery store_outage_tracker::Recovery(time_point now) const {
@@ -73,9 +74,9 @@
   if (window.until <= now) {
     return {};
   }
-  return {.event = return_.event,
+  return {.event = recovery_.event,
           .left = window.until - now,
-          .revision = return_.revision};
+          .revision = recovery_.revision};
 }
 
 }  // namespace cuminswitch
--- a/lib/Fleet/upstream_directory.cc
+++ b/lib/Fleet/upstream_directory.cc
@@ -11,7 +11,7 @@
 
 /// Whether \p a began after \p b. Their own times come first: an entry's
 /// revision also grows when its upstream only says that it leaves.
-static bool IsLater(const upstream_entry& a, const upstream_entry& b) {
+static bool StartedLater(const upstream_entry& a, const upstream_entry& b) {
   if (a.started != 0 && b.started != 0 && a.started != b.started) {
     return a.started > b.started;
   }
@@ -19,9 +19,9 @@
 }
 
 /// Whether an upstream that was removed at \p revision may live.
-static bool MayHaveLapsed(time_point now,
-                          revision_number revision,
-                          const recovery_window& window) {
+static bool MayHaveExpired(time_point now,
+                           revision_number revision,
+                           const recovery_window& window) {
   return now < window.until && revision <= window.last_removal;
 }
 
@@ -44,11 +44,11 @@
     unreadable_.insert(news.id);
   } else if (found != states_.end() && !found->second.is_replaced &&
              !found->second.entry->is_draining &&
-             MayHaveLapsed(now, news.revision, window)) {
+             MayHaveExpired(now, news.revision, window)) {
     found->second.removed_at = news.revision;
-    last_kept_removal_ = std::max(last_kept_removal_, news.revision);
-    if (kept_.insert(news.id).second) {
-      kept_changes_.push_back(
+    last_retained_removal_ = std::max(last_retained_removal_, news.revision);
+    if (retained_.insert(news.id).second) {
+      retained_changes_.push_back(
           {.id = news.id, .revision = news.revision, .is_retained = true});
     }
     return;
@@ -57,13 +57,13 @@
 }
 
 void upstream_directory::Expire(time_point now, const recovery_window& window) {
-  if (MayHaveLapsed(now, last_kept_removal_, window)) {
+  if (MayHaveExpired(now, last_retained_removal_, window)) {
     return;
   }
-  last_kept_removal_ = window.last_removal;
+  last_retained_removal_ = window.last_removal;
   std::vector<std::string> over;
-  for (const std::string& id : kept_) {
-    if (!MayHaveLapsed(now, states_.find(id)->second.removed_at, window)) {
+  for (const std::string& id : retained_) {
+    if (!MayHaveExpired(now, states_.find(id)->second.removed_at, window)) {
       over.push_back(id);
     }
   }
@@ -74,27 +74,28 @@
 
 void upstream_directory::Put(const upstream_ref& entry) {
   state& known = states_[entry->id];
-  EndKeeping(entry->id);
+  EndRetention(entry->id);
   const upstream_ref before = std::exchange(known.entry, entry);
   if (known.is_replaced && before->started == entry->started) {
     return;
   }
   if (before != nullptr && !known.is_replaced) {
-    Disuse(before);
+    Deactivate(before);
   }
   known.is_replaced = false;
-  if (const auto owner = owners_.find(entry->address); owner != owners_.end()) {
+  if (const auto owner = active_by_address_.find(entry->address);
+      owner != active_by_address_.end()) {
     const upstream_ref other = owner->second;
-    if (!IsLater(*entry, *other)) {
+    if (!StartedLater(*entry, *other)) {
       known.is_replaced = true;
       return;
     }
     state& replaced = states_.find(other->id)->second;
     replaced.is_replaced = true;
-    EndKeeping(other->id);
-    Disuse(other);
+    EndRetention(other->id);
+    Deactivate(other);
   }
-  Use(entry);
+  Activate(entry);
 }
 
 void upstream_directory::Remove(const std::string& id) {
@@ -103,30 +104,31 @@
     return;
   }
   if (!found->second.is_replaced) {
-    Disuse(found->second.entry);
+    Deactivate(found->second.entry);
   }
-  EndKeeping(id);
+  EndRetention(id);
   states_.erase(found);
 }
 
-void upstream_directory::EndKeeping(const std::string& id) {
-  if (kept_.erase(id) != 0) {
-    kept_changes_.push_back({.id = id,
-                             .revision = states_.find(id)->second.removed_at,
-                             .is_retained = false});
+void upstream_directory::EndRetention(const std::string& id) {
+  if (retained_.erase(id) != 0) {
+    retained_changes_.push_back(
+        {.id = id,
+         .revision = states_.find(id)->second.removed_at,
+         .is_retained = false});
   }
 }
 
-void upstream_directory::Use(const upstream_ref& item) {
-  NoteChange(item->id, nullptr);
-  owners_[item->address] = item;
+void upstream_directory::Activate(const upstream_ref& item) {
+  RecordChange(item->id, nullptr);
+  active_by_address_[item->address] = item;
   ++service_sizes_[item->service];
   ++in_use_count_;
 }
 
-void upstream_directory::Disuse(const upstream_ref& item) {
-  NoteChange(item->id, item);
-  owners_.erase(item->address);
+void upstream_directory::Deactivate(const upstream_ref& item) {
+  RecordChange(item->id, item);
+  active_by_address_.erase(item->address);
   const auto size = service_sizes_.find(item->service);
   if (--size->second == 0) {
     service_sizes_.erase(size);
@@ -134,8 +136,8 @@
   --in_use_count_;
 }
 
-void upstream_directory::NoteChange(const std::string& id,
-                                    const upstream_ref& before) {
+void upstream_directory::RecordChange(const std::string& id,
+                                      const upstream_ref& before) {
   changed_.try_emplace(id, before);
   ++version_;
 }
--- a/lib/Fleet/weights_rollout.cc
+++ b/lib/Fleet/weights_rollout.cc
@@ -8,11 +8,11 @@
 
 /// A change takes about a third of a second; an engine that does not show it
 /// after this long is asked again.
-static constexpr duration kChangeTime = std::chrono::milliseconds(900);
-static constexpr duration kBusyPause = std::chrono::milliseconds(150);
+static constexpr duration kChangeTimeout = std::chrono::milliseconds(900);
+static constexpr duration kBusyRetryDelay = std::chrono::milliseconds(150);
 /// After an order without answer: it may still be on its way.
-static constexpr duration kUnknownPause = std::chrono::milliseconds(500);
-static constexpr duration kRejectedPause = std::chrono::seconds(2);
+static constexpr duration kUnknownResultDelay = std::chrono::milliseconds(500);
+static constexpr duration kRejectedRetryDelay = std::chrono::seconds(2);
 
 std::string_view ToString(command_result value) {
   switch (value) {
@@ -59,7 +59,7 @@
   return list;
 }
 
-void weights_rollout::DropSettled(const upstream_directory& upstreams) {
+void weights_rollout::DropFinished(const upstream_directory& upstreams) {
   std::erase_if(engines_, [&](const auto& item) {
     const upstream_ref entry = upstreams.Find(item.first);
     // Of an order to an earlier start nothing will come: the start that is
@@ -84,16 +84,16 @@
     return {};
   }
   wanted_.assign(wanted.begin(), wanted.end());
-  DropSettled(upstreams);
+  DropFinished(upstreams);
   const std::vector<outdated> candidates = ListOutdated(upstreams);
   settled_version_.reset();
   if (candidates.empty() && engines_.empty()) {
     settled_version_ = upstreams.version();
     return {};
   }
-  std::map<std::string, size_t> under_way;
+  std::map<std::string, size_t> in_progress;
   for (const auto& [id, item] : engines_) {
-    under_way[item.service] += item.at == stage::kIdle ? 0 : 1;
+    in_progress[item.service] += item.at == stage::kIdle ? 0 : 1;
   }
   std::vector<rollout_step> steps;
   for (const outdated& candidate : candidates) {
@@ -104,17 +104,17 @@
     item.address = entry.address;
     item.wanted = candidate.wanted;
     const bool is_overdue =
-        item.at == stage::kChanging && now - item.since > kChangeTime;
+        item.at == stage::kChanging && now - item.since > kChangeTimeout;
     const bool is_new =
         item.at == stage::kIdle && now >= item.next_step &&
-        under_way[entry.service] <
-            std::max(kLeastChangesAtOnce,
-                     upstreams.CountOf(entry.service) / kServicePart);
+        in_progress[entry.service] <
+            std::max(kMinConcurrentChanges, upstreams.CountOf(entry.service) /
+                                                kConcurrentChangesDivisor);
     if (!is_overdue && !is_new) {
       continue;
     }
-    under_way[entry.service] += is_new ? 1 : 0;
-    item.at = stage::kAsked;
+    in_progress[entry.service] += is_new ? 1 : 0;
+    item.at = stage::kQuerying;
     item.since = now;
     steps.push_back({.upstream = entry.id,
                      .address = entry.address,
@@ -128,7 +128,7 @@
     const std::string& upstream,
     const std::optional<engine_report>& report) {
   const auto found = engines_.find(upstream);
-  if (found == engines_.end() || found->second.at != stage::kAsked) {
+  if (found == engines_.end() || found->second.at != stage::kQuerying) {
     return std::nullopt;
   }
   engine& item = found->second;
@@ -136,27 +136,27 @@
     // An order is in progress: the engine lets its runs finish, which takes
     // seconds under load, and refuses all others meanwhile.
     item.at = stage::kChanging;
-    item.since = now - kChangeTime + kBusyPause;
+    item.since = now - kChangeTimeout + kBusyRetryDelay;
     return std::nullopt;
   }
   if (!report) {
     item.at = stage::kIdle;
-    item.next_step = now + kBusyPause;
+    item.next_step = now + kBusyRetryDelay;
     return std::nullopt;
   }
-  const bool has_it =
+  const bool has_wanted =
       std::any_of(report->weights.begin(), report->weights.end(),
                   [&](const weights_version& has) {
                     return has.model == item.wanted.model &&
                            has.version >= item.wanted.version;
                   });
-  if (has_it) {
+  if (has_wanted) {
     // The store's list will say so soon.
     item.at = stage::kIdle;
-    item.next_step = now + kChangeTime;
+    item.next_step = now + kChangeTimeout;
     return std::nullopt;
   }
-  item.at = stage::kOrdered;
+  item.at = stage::kCommanded;
   return rollout_step{
       .upstream = upstream,
       .address = item.address,
@@ -165,26 +165,26 @@
 }
 
 /// How long an engine is left alone after an order that it did not accept.
-static duration PauseAfter(command_result end) {
+static duration RetryDelayAfter(command_result end) {
   switch (end) {
     case command_result::kAccepted:
     case command_result::kAlreadyApplied:
-      return kChangeTime;
+      return kChangeTimeout;
     case command_result::kConflict:
-      return kBusyPause;
+      return kBusyRetryDelay;
     case command_result::kUnknown:
-      return kUnknownPause;
+      return kUnknownResultDelay;
     case command_result::kRejected:
-      return kRejectedPause;
+      return kRejectedRetryDelay;
   }
-  return kRejectedPause;
+  return kRejectedRetryDelay;
 }
 
 void weights_rollout::OnCommandResult(time_point now,
                                       const std::string& upstream,
                                       command_result end) {
   const auto found = engines_.find(upstream);
-  if (found == engines_.end() || found->second.at != stage::kOrdered) {
+  if (found == engines_.end() || found->second.at != stage::kCommanded) {
     return;
   }
   engine& item = found->second;
@@ -194,7 +194,7 @@
     return;
   }
   item.at = stage::kIdle;
-  item.next_step = now + PauseAfter(end);
+  item.next_step = now + RetryDelayAfter(end);
 }
 
 std::vector<std::string> weights_rollout::ListChanging() const {
--- a/unittests/Fleet/item_view_test.cc
+++ b/unittests/Fleet/item_view_test.cc
@@ -17,7 +17,7 @@
   return {.key = key, .value = value, .revision = revision};
 }
 
-item_change Gone(const std::string& key, revision_number revision) {
+item_change Removed(const std::string& key, revision_number revision) {
   return {.key = key, .value = std::nullopt, .revision = revision};
 }
 
@@ -37,7 +37,7 @@
 // Sequence: its entry goes; a peer that was behind sends the entry again.
 TEST(item_view_test, WhatWentDoesNotComeBackWithAnOldChange) {
   item_view view;
-  view.ApplyChanges(std::vector{Put("a", "1", 10), Gone("a", 30)}, 30);
+  view.ApplyChanges(std::vector{Put("a", "1", 10), Removed("a", 30)}, 30);
   EXPECT_TRUE(view.ApplyChanges(std::vector{Put("a", "1", 10)}, 10).empty());
   EXPECT_FALSE(view.entries().at("a").value.has_value());
   EXPECT_EQ(view.ApplyChanges(std::vector{Put("a", "3", 40)}, 40),
@@ -66,7 +66,7 @@
 TEST(item_view_test, ListsWhatAPeerLacks) {
   item_view view;
   view.ApplyChanges(
-      std::vector{Put("a", "1", 1), Put("b", "1", 2), Gone("c", 3)}, 3);
+      std::vector{Put("a", "1", 1), Put("b", "1", 2), Removed("c", 3)}, 3);
   for (const char* key : {"a", "b", "c"}) {
     view.MarkForRelay(key);
   }
@@ -114,7 +114,7 @@
   std::set<std::string> known;
   for (revision_number i = 1; i <= 2000; ++i) {
     for (const std::string& key : view.ApplyChanges(
-             std::vector{Gone("key" + std::to_string(i), i)}, i)) {
+             std::vector{Removed("key" + std::to_string(i), i)}, i)) {
       known.insert(key);
       if (!view.entries().contains(key)) {
         known.erase(key);
@@ -127,7 +127,7 @@
 TEST(item_view_test, ForgetsOldGoneItemsAndSaysSo) {
   item_view view;
   for (revision_number i = 1; i <= 2000; ++i) {
-    view.ApplyChanges(std::vector{Gone("key" + std::to_string(i), i)}, i);
+    view.ApplyChanges(std::vector{Removed("key" + std::to_string(i), i)}, i);
   }
   EXPECT_LT(view.entries().size(), 600U);
   EXPECT_FALSE(view.HasHistorySince(1));
@@ -139,7 +139,7 @@
   std::vector<item_change> changes;
   for (revision_number i = 1; i <= 12; ++i) {
     const std::string key = "k" + std::to_string(i % 4);
-    changes.push_back(i % 5 == 0 ? Gone(key, i)
+    changes.push_back(i % 5 == 0 ? Removed(key, i)
                                  : Put(key, std::to_string(i), i));
   }
   item_view expected;
--- a/unittests/Fleet/item_watcher_test.cc
+++ b/unittests/Fleet/item_watcher_test.cc
@@ -45,20 +45,21 @@
   item_watcher_test()
       : base_(event_base_new()),
         log_({}),
-        feed_(base_.get(),
-              store_,
-              log_,
-              {.on_change = [](std::span<const std::string> /*keys*/) {},
-               .on_answer = [](time_point /*at*/,
-                               revision_number /*revision*/) {}}) {
-    feed_.Start();
+        item_watcher_(
+            base_.get(),
+            store_,
+            log_,
+            {.on_change = [](std::span<const std::string> /*keys*/) {},
+             .on_reply = [](time_point /*at*/,
+                            revision_number /*revision*/) {}}) {
+    item_watcher_.Start();
   }
   void RunTimers() { event_base_loop(base_.get(), EVLOOP_ONCE); }
 
   std::unique_ptr<event_base, base_deleter> base_;
   event_log log_;
   waiting_store store_;
-  item_watcher feed_;
+  item_watcher item_watcher_;
 };
 
 // Symptom: 30 s after all of 300 daemons were killed the fleet serves nobody.
@@ -67,21 +68,23 @@
 // its own read was under way, so that the store's link stayed full.
 TEST_F(item_watcher_test, APeersListEndsTheReadThatIsUnderWay) {
   ASSERT_TRUE(store_.reading);
-  feed_.OnPeerItems({.revision = 7,
-                     .is_complete = true,
-                     .items = {{.key = "k", .value = "v", .revision = 3}}},
-                    {});
+  item_watcher_.OnPeerItems(
+      {.revision = 7,
+       .is_complete = true,
+       .items = {{.key = "k", .value = "v", .revision = 3}}},
+      {});
   EXPECT_FALSE(store_.reading);
-  EXPECT_EQ(feed_.view().revision(), 7U);
+  EXPECT_EQ(item_watcher_.view().revision(), 7U);
   RunTimers();
   EXPECT_EQ(store_.watched_after, 7U);
 }
 
 TEST_F(item_watcher_test, APartOfTheItemsDoesNotEndIt) {
-  feed_.OnPeerItems({.revision = 7,
-                     .is_complete = false,
-                     .items = {{.key = "k", .value = "v", .revision = 7}}},
-                    {});
+  item_watcher_.OnPeerItems(
+      {.revision = 7,
+       .is_complete = false,
+       .items = {{.key = "k", .value = "v", .revision = 7}}},
+      {});
   EXPECT_TRUE(store_.reading);
 }
 
--- a/unittests/Fleet/items_request_tracker_test.cc
+++ b/unittests/Fleet/items_request_tracker_test.cc
@@ -16,26 +16,26 @@
 // Cause: the time of the last question counted, not whether it was answered.
 TEST(items_request_tracker_test, NothingIsAskedWhileAnAnswerIsOnItsWay) {
   items_request_tracker pacer;
-  EXPECT_TRUE(pacer.MayAsk(kStart));
-  pacer.OnAsked(kStart, "d");
+  EXPECT_TRUE(pacer.MaySend(kStart));
+  pacer.OnSent(kStart, "d");
   for (int millis = 0; millis < 1000; millis += 50) {
-    EXPECT_FALSE(pacer.MayAsk(kStart + milliseconds(millis))) << millis;
+    EXPECT_FALSE(pacer.MaySend(kStart + milliseconds(millis))) << millis;
   }
-  EXPECT_TRUE(pacer.MayAsk(kStart + milliseconds(1000))) << "it was lost";
+  EXPECT_TRUE(pacer.MaySend(kStart + milliseconds(1000))) << "it was lost";
 }
 
 TEST(items_request_tracker_test, AfterAnAnswerTheNextQuestionComesSoon) {
   items_request_tracker pacer;
-  pacer.OnAsked(kStart, "d");
-  pacer.OnAnswered();
-  EXPECT_FALSE(pacer.MayAsk(kStart + milliseconds(100)));
-  EXPECT_TRUE(pacer.MayAsk(kStart + milliseconds(200)));
+  pacer.OnSent(kStart, "d");
+  pacer.OnReply();
+  EXPECT_FALSE(pacer.MaySend(kStart + milliseconds(100)));
+  EXPECT_TRUE(pacer.MaySend(kStart + milliseconds(200)));
 }
 
 TEST(items_request_tracker_test, TurnsDiffer) {
   items_request_tracker pacer;
   const uint64_t first = pacer.turn();
-  pacer.OnAsked(kStart, "d");
+  pacer.OnSent(kStart, "d");
   EXPECT_NE(pacer.turn(), first);
 }
 
--- a/unittests/Fleet/routing_config_test.cc
+++ b/unittests/Fleet/routing_config_test.cc
@@ -6,7 +6,7 @@
 namespace cuminswitch {
 namespace {
 
-routing_config MakePlan() {
+routing_config MakeConfig() {
   routing_config plan;
   plan.routes = {
       {.name = "short", .host = "h", .path_prefix = "/a/"},
@@ -19,7 +19,7 @@
 }
 
 TEST(routing_config_test, TheLongestPrefixOfTheHostWins) {
-  const routing_config plan = MakePlan();
+  const routing_config plan = MakeConfig();
   EXPECT_EQ(plan.FindRoute("h", "/a/b/c/d")->name, "long");
   EXPECT_EQ(plan.FindRoute("h", "/a/bb")->name, "short");
   EXPECT_EQ(plan.FindRoute("i", "/a/b/c/d")->name, "other");
@@ -29,7 +29,7 @@
 }
 
 TEST(routing_config_test, FindsTheHolderOfACredential) {
-  const routing_config plan = MakePlan();
+  const routing_config plan = MakeConfig();
   EXPECT_EQ(plan.FindWorkspace("k2")->name, "w");
   EXPECT_EQ(plan.FindWorkspace(""), nullptr);
   EXPECT_EQ(plan.FindWorkspace("k3"), nullptr);
--- a/unittests/Fleet/staleness_tracker_test.cc
+++ b/unittests/Fleet/staleness_tracker_test.cc
@@ -13,35 +13,40 @@
 TEST(staleness_tracker_test, TheYoungestEvidenceCounts) {
   staleness_tracker tracker(1);
   EXPECT_FALSE(tracker.MostRecent(kStart));
-  tracker.OnPeer(kStart, {.daemon_hash = 2, .age = milliseconds(300)}, false);
+  tracker.OnPeerReport(kStart, {.daemon_hash = 2, .age = milliseconds(300)},
+                       false);
   EXPECT_EQ(tracker.Staleness(kStart), milliseconds(300));
-  tracker.OnPeer(kStart, {.daemon_hash = 3, .age = milliseconds(500)}, false);
+  tracker.OnPeerReport(kStart, {.daemon_hash = 3, .age = milliseconds(500)},
+                       false);
   EXPECT_EQ(tracker.MostRecent(kStart),
             (freshness_record{.daemon_hash = 2, .age = milliseconds(300)}));
-  tracker.OnStoreAnswer(kStart);
+  tracker.OnStoreReply(kStart);
   EXPECT_EQ(tracker.MostRecent(kStart + milliseconds(20)),
             (freshness_record{.daemon_hash = 1, .age = milliseconds(20)}));
 }
 
 TEST(staleness_tracker_test, EvidenceOfAPeerThatKnowsMoreDoesNotHold) {
   staleness_tracker tracker(1);
-  tracker.OnPeer(kStart, {.daemon_hash = 2, .age = milliseconds(10)}, true);
+  tracker.OnPeerReport(kStart, {.daemon_hash = 2, .age = milliseconds(10)},
+                       true);
   EXPECT_FALSE(tracker.MostRecent(kStart));
   EXPECT_TRUE(tracker.HasReachedStore(kStart, 2, milliseconds(100)));
 }
 
 TEST(staleness_tracker_test, OwnEvidenceThatComesBackProvesNothingNew) {
   staleness_tracker tracker(1);
-  tracker.OnStoreAnswer(kStart);
+  tracker.OnStoreReply(kStart);
   const time_point later = kStart + std::chrono::seconds(2);
-  tracker.OnPeer(later, {.daemon_hash = 1, .age = milliseconds(10)}, false);
+  tracker.OnPeerReport(later, {.daemon_hash = 1, .age = milliseconds(10)},
+                       false);
   EXPECT_EQ(tracker.Staleness(later), std::chrono::seconds(2));
   EXPECT_FALSE(tracker.HasReachedStore(later, 1, std::chrono::seconds(9)));
 }
 
 TEST(staleness_tracker_test, WitnessesAreForgotten) {
   staleness_tracker tracker(1);
-  tracker.OnPeer(kStart, {.daemon_hash = 2, .age = milliseconds(10)}, false);
+  tracker.OnPeerReport(kStart, {.daemon_hash = 2, .age = milliseconds(10)},
+                       false);
   EXPECT_TRUE(tracker.HasReachedStore(kStart, 2, milliseconds(100)));
   EXPECT_FALSE(tracker.HasReachedStore(kStart + milliseconds(200), 2,
                                        milliseconds(100)));
--- a/unittests/Fleet/store_fleet.cc
+++ b/unittests/Fleet/store_fleet.cc
@@ -13,13 +13,13 @@
 static constexpr milliseconds kRound{120};
 /// Upstreams renew their items, so that a watch has something to tell.
 static constexpr milliseconds kWatchPause{100};
-static constexpr milliseconds kSilence{1600};
-static constexpr milliseconds kFirstRetry{100};
-static constexpr milliseconds kLongestRetry{800};
+static constexpr milliseconds kCallTimeout{1600};
+static constexpr milliseconds kMinRetryDelay{100};
+static constexpr milliseconds kMaxRetryDelay{800};
 /// As in the roster: a round's beats, and where only partners are beaten.
-static constexpr size_t kBeatsPerRound = 16;
+static constexpr size_t kHeartbeatsPerRound = 16;
 static constexpr size_t kPartialFrom = 192;
-static constexpr size_t kPartialBeats = 4;
+static constexpr size_t kPartialHeartbeats = 4;
 
 store_fleet::store_fleet(size_t daemons, size_t domains, fault kind)
     : daemons_(daemons), fault_(kind) {
@@ -47,8 +47,8 @@
   }
 }
 
-void store_fleet::SetReached(size_t number, bool is_reached) {
-  daemons_[number].is_reached = is_reached;
+void store_fleet::SetStoreReachable(size_t number, bool reaches_store) {
+  daemons_[number].reaches_store = reaches_store;
 }
 
 std::set<size_t> store_fleet::Followers() const {
@@ -61,11 +61,11 @@
   return followers;
 }
 
-duration store_fleet::TimeToLearn(duration most) {
+duration store_fleet::ConvergenceTime(duration most) {
   const time_point changed_at = now_;
   ++revision_;
   const auto is_behind = [this](const daemon& item) {
-    return item.is_reached && item.revision < revision_;
+    return item.reaches_store && item.revision < revision_;
   };
   while (now_ - changed_at < most &&
          std::any_of(daemons_.begin(), daemons_.end(), is_behind)) {
@@ -81,54 +81,57 @@
   }
   if (now_ >= self.next_round) {
     self.next_round += kRound;
-    Beat(number);
+    SendHeartbeats(number);
     self.follows =
         self.duty.ShouldFollow(now_, {.self = living_[number],
                                       .alive = living_,
                                       .staleness = self.staleness,
-                                      .answered_at = self.answered_at,
-                                      .failed_at = self.failed_at,
+                                      .last_reply_at = self.last_reply_at,
+                                      .last_failure_at = self.last_failure_at,
                                       .known = daemons_.size()});
   }
 }
 
 void store_fleet::Call(daemon& self) {
-  const bool is_silent = fault_ == fault::kSilent && !self.is_reached;
+  const bool is_silent = fault_ == fault::kUnresponsive && !self.reaches_store;
   if (!self.is_calling && is_silent) {
     ++calls_;
     self.is_calling = true;
-    self.next_call = now_ + kSilence;
+    self.next_call = now_ + kCallTimeout;
     return;
   }
   calls_ += self.is_calling ? 0 : 1;
-  if (self.is_reached && !self.is_calling) {
+  if (self.reaches_store && !self.is_calling) {
     self.revision = revision_;
-    self.answered_at = now_;
-    self.staleness.OnStoreAnswer(now_);
+    self.last_reply_at = now_;
+    self.staleness.OnStoreReply(now_);
     self.pause = duration(0);
     self.next_call = now_ + kWatchPause;
     return;
   }
   self.is_calling = false;
-  self.failed_at = now_;
-  self.pause = std::clamp<duration>(self.pause * 2, kFirstRetry, kLongestRetry);
+  self.last_failure_at = now_;
+  self.pause =
+      std::clamp<duration>(self.pause * 2, kMinRetryDelay, kMaxRetryDelay);
   self.next_call = now_ + self.pause;
 }
 
-void store_fleet::Beat(size_t number) {
+void store_fleet::SendHeartbeats(size_t number) {
   daemon& self = daemons_[number];
   const bool is_partial = daemons_.size() > kPartialFrom;
-  const size_t beats = std::min(daemons_.size() - 1,
-                                is_partial ? kPartialBeats : kBeatsPerRound);
+  const size_t beats =
+      std::min(daemons_.size() - 1,
+               is_partial ? kPartialHeartbeats : kHeartbeatsPerRound);
   for (size_t i = 0; i < beats; ++i) {
     const size_t to = is_partial ? random_() % daemons_.size()
                                  : self.turn++ % daemons_.size();
     daemon& peer = daemons_[to];
-    if (to == number || self.is_cut_off || peer.is_cut_off) {
+    if (to == number || self.is_partitioned || peer.is_partitioned) {
       continue;
     }
     if (const auto evidence = self.staleness.MostRecent(now_)) {
-      peer.staleness.OnPeer(now_, *evidence, self.revision > peer.revision);
+      peer.staleness.OnPeerReport(now_, *evidence,
+                                  self.revision > peer.revision);
     }
     // It asks, and is answered long before the next round.
     peer.revision = std::max(peer.revision, self.revision);
--- a/unittests/Fleet/store_fleet.h
+++ b/unittests/Fleet/store_fleet.h
@@ -21,20 +21,20 @@
 class store_fleet {
  public:
   /// What becomes of calls that the store does not serve.
-  enum class fault { kRefuses, kSilent };
+  enum class fault { kRefusing, kUnresponsive };
 
   store_fleet(size_t daemons, size_t domains, fault kind);
 
   void Run(duration span);
   /// Turns \p number away from the store, or serves it again.
-  void SetReached(size_t number, bool is_reached);
+  void SetStoreReachable(size_t number, bool reaches_store);
   /// Cuts \p number off from all others.
-  void CutOff(size_t number) { daemons_[number].is_cut_off = true; }
+  void Partition(size_t number) { daemons_[number].is_partitioned = true; }
   /// Those that follow the store now.
   std::set<size_t> Followers() const;
   /// Changes an item; returns the time until the last daemon that reaches the
   /// store knows, at most \p most.
-  duration TimeToLearn(duration most);
+  duration ConvergenceTime(duration most);
   size_t calls() const { return calls_; }
 
  private:
@@ -42,13 +42,13 @@
     staleness_tracker staleness{0};
     store_follower_policy duty;
     revision_number revision = 0;
-    bool is_reached = true;
-    bool is_cut_off = false;
+    bool reaches_store = true;
+    bool is_partitioned = false;
     bool follows = true;
     bool is_calling = false;
     duration pause{0};
-    time_point answered_at{};
-    time_point failed_at{};
+    time_point last_reply_at{};
+    time_point last_failure_at{};
     /// When the call under way ends, or the next one begins.
     time_point next_call{};
     time_point next_round{};
@@ -57,7 +57,7 @@
 
   void Step(size_t number);
   void Call(daemon& self);
-  void Beat(size_t number);
+  void SendHeartbeats(size_t number);
 
   std::vector<daemon> daemons_;
   /// Each daemon ranks itself behind none, so that one list serves all.
--- a/unittests/Fleet/store_follower_policy_test.cc
+++ b/unittests/Fleet/store_follower_policy_test.cc
@@ -29,10 +29,10 @@
  protected:
   size_t size() const { return std::get<0>(GetParam()); }
   /// The longest of some changes, which come from when the store was lost on.
-  duration LongestToLearn() {
+  duration MaxConvergenceTime() {
     duration longest{0};
     for (int i = 0; i < 12; ++i) {
-      longest = std::max(longest, fleet_.TimeToLearn(seconds(20)));
+      longest = std::max(longest, fleet_.ConvergenceTime(seconds(20)));
       fleet_.Run(milliseconds(370));
     }
     std::printf("%zu daemons: %lld ms until the last one knows\n", size(),
@@ -45,12 +45,12 @@
     Fleets,
     store_follower_policy_test,
     testing::Combine(testing::Values(13, 30, 68, 300, 986),
-                     testing::Values(store_fleet::fault::kRefuses,
-                                     store_fleet::fault::kSilent)));
+                     testing::Values(store_fleet::fault::kRefusing,
+                                     store_fleet::fault::kUnresponsive)));
 
 TEST_P(store_follower_policy_test, FewFollowWhileNothingIsWrong) {
   EXPECT_EQ(fleet_.Followers().size(), 6U);
-  EXPECT_LE(fleet_.TimeToLearn(kBound), milliseconds(1000));
+  EXPECT_LE(fleet_.ConvergenceTime(kBound), milliseconds(1000));
 }
 
 // Guards against followers that live without the store while others reach it.
@@ -58,16 +58,16 @@
        ThoseThatReachTheStoreLearnInTimeWithoutTheFollowers) {
   const std::set<size_t> followers = fleet_.Followers();
   for (const size_t follower : followers) {
-    fleet_.SetReached(follower, false);
+    fleet_.SetStoreReachable(follower, false);
   }
-  EXPECT_LE(LongestToLearn(), kBound);
+  EXPECT_LE(MaxConvergenceTime(), kBound);
 }
 
 TEST_P(store_follower_policy_test, OneDaemonThatReachesTheStoreIsEnough) {
   for (size_t i = 1; i < size(); ++i) {
-    fleet_.SetReached(i, false);
+    fleet_.SetStoreReachable(i, false);
   }
-  EXPECT_LE(LongestToLearn(), kBound);
+  EXPECT_LE(MaxConvergenceTime(), kBound);
 }
 
 // Guards against a daemon that waits for peers from which it is cut off.
@@ -76,21 +76,21 @@
   const std::set<size_t> followers = fleet_.Followers();
   for (size_t i = 0, cut = 0; cut < 3; ++i) {
     if (!followers.contains(i)) {
-      fleet_.CutOff(i);
+      fleet_.Partition(i);
       ++cut;
     }
   }
-  EXPECT_LE(LongestToLearn(), kBound);
+  EXPECT_LE(MaxConvergenceTime(), kBound);
 }
 
 TEST_P(store_follower_policy_test, FollowersTakeTheirPlacesBack) {
   const std::set<size_t> followers = fleet_.Followers();
   for (const size_t follower : followers) {
-    fleet_.SetReached(follower, false);
+    fleet_.SetStoreReachable(follower, false);
   }
   fleet_.Run(seconds(6));
   for (const size_t follower : followers) {
-    fleet_.SetReached(follower, true);
+    fleet_.SetStoreReachable(follower, true);
   }
   fleet_.Run(seconds(8));
   EXPECT_EQ(fleet_.Followers(), followers);
@@ -99,7 +99,7 @@
 // Guards against a fleet that storms a store which is down for everybody.
 TEST_P(store_follower_policy_test, CallsStayFewWhileTheStoreIsDown) {
   for (size_t i = 0; i < size(); ++i) {
-    fleet_.SetReached(i, false);
+    fleet_.SetStoreReachable(i, false);
   }
   fleet_.Run(seconds(4));
   const size_t before = fleet_.calls();
--- a/unittests/Fleet/store_outage_tracker_test.cc
+++ b/unittests/Fleet/store_outage_tracker_test.cc
@@ -9,22 +9,23 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr time_point kLost{seconds(100)};
-constexpr time_point kBack = kLost + seconds(5);
-constexpr revision_number kAtReturn = 40;
+constexpr time_point kOutageStart{seconds(100)};
+constexpr time_point kOutageEnd = kOutageStart + seconds(5);
+constexpr revision_number kRecoveryRevision = 40;
 
 class store_outage_tracker_test : public testing::Test {
  protected:
   static store_outage_tracker Make(uint64_t self) {
     return store_outage_tracker({.self = self});
   }
-  /// The store answers until `kLost`, and again from \p back on.
-  static store_outage_tracker MakeAfterOutage(uint64_t self,
-                                              time_point back = kBack,
-                                              revision_number at = kAtReturn) {
+  /// The store answers until `kOutageStart`, and again from \p back on.
+  static store_outage_tracker MakeAfterOutage(
+      uint64_t self,
+      time_point back = kOutageEnd,
+      revision_number at = kRecoveryRevision) {
     store_outage_tracker made = Make(self);
-    made.OnStoreAnswer(kLost, 10);
-    made.OnStoreAnswer(back, at);
+    made.OnStoreReply(kOutageStart, 10);
+    made.OnStoreReply(back, at);
     return made;
   }
   /// \p from sends a beat at \p sent, with \p evidence, which takes \p delay.
@@ -33,10 +34,10 @@
                    std::optional<freshness_record> evidence,
                    milliseconds delay,
                    store_outage_tracker& to) {
-    to.OnPeer(sent + delay, from.Recovery(sent), evidence);
+    to.OnPeerReport(sent + delay, from.Recovery(sent), evidence);
   }
   static bool Recovery(const store_outage_tracker& lapsed, milliseconds after) {
-    const time_point now = kBack + after;
+    const time_point now = kOutageEnd + after;
     EXPECT_EQ(lapsed.Recovery(now).event != 0, now < lapsed.Window().until);
     return now < lapsed.Window().until;
   }
@@ -58,15 +59,15 @@
 // Guards against requests to upstreams that left after the store's return.
 TEST_F(store_outage_tracker_test,
        OnlyWhatWasRemovedBeforeTheReturnMayHaveLapsed) {
-  EXPECT_EQ(MakeAfterOutage(1).Window().last_removal, kAtReturn);
+  EXPECT_EQ(MakeAfterOutage(1).Window().last_removal, kRecoveryRevision);
 }
 
 // Guards against requests to upstreams that left, because one call failed.
 TEST_F(store_outage_tracker_test, AMomentWithoutTheStoreExcusesNothing) {
   store_outage_tracker lapsed = Make(1);
   for (milliseconds at{0}; at < seconds(30); at += milliseconds(2300)) {
-    lapsed.OnStoreAnswer(kLost + at, 10);
-    EXPECT_EQ(lapsed.Recovery(kLost + at).event, 0U);
+    lapsed.OnStoreReply(kOutageStart + at, 10);
+    EXPECT_EQ(lapsed.Recovery(kOutageStart + at).event, 0U);
   }
 }
 
@@ -74,11 +75,11 @@
 // one daemon away was taken for one that was away.
 TEST_F(store_outage_tracker_test, WhatGoesWhileTheStoreServesOthersIsGone) {
   store_outage_tracker lapsed = Make(1);
-  lapsed.OnStoreAnswer(kLost, 10);
+  lapsed.OnStoreReply(kOutageStart, 10);
   for (milliseconds at{0}; at < seconds(5); at += milliseconds(500)) {
-    lapsed.OnPeer(kLost + at, {}, Answered(milliseconds(300)));
+    lapsed.OnPeerReport(kOutageStart + at, {}, Answered(milliseconds(300)));
   }
-  lapsed.OnStoreAnswer(kBack, kAtReturn);
+  lapsed.OnStoreReply(kOutageEnd, kRecoveryRevision);
   EXPECT_FALSE(Recovery(lapsed, milliseconds(100)));
 }
 
@@ -86,9 +87,10 @@
 // from before it.
 TEST_F(store_outage_tracker_test, AnAnswerFromBeforeTheOutageProvesNothing) {
   store_outage_tracker lapsed = Make(1);
-  lapsed.OnStoreAnswer(kLost, 10);
-  lapsed.OnPeer(kLost + seconds(4), {}, Answered(milliseconds(3900)));
-  lapsed.OnStoreAnswer(kBack, kAtReturn);
+  lapsed.OnStoreReply(kOutageStart, 10);
+  lapsed.OnPeerReport(kOutageStart + seconds(4), {},
+                      Answered(milliseconds(3900)));
+  lapsed.OnStoreReply(kOutageEnd, kRecoveryRevision);
   EXPECT_TRUE(Recovery(lapsed, milliseconds(100)));
 }
 
@@ -97,11 +99,11 @@
 TEST_F(store_outage_tracker_test, WhatPeersAwaitIsAwaitedToo) {
   const store_outage_tracker origin = MakeAfterOutage(1);
   store_outage_tracker lapsed = Make(2);
-  lapsed.OnPeer(kLost, {}, Answered(milliseconds(0)));
-  Tell(origin, kBack + milliseconds(600), Answered(milliseconds(600)),
+  lapsed.OnPeerReport(kOutageStart, {}, Answered(milliseconds(0)));
+  Tell(origin, kOutageEnd + milliseconds(600), Answered(milliseconds(600)),
        milliseconds(0), lapsed);
-  EXPECT_EQ(lapsed.Window().until, kBack + seconds(2));
-  EXPECT_EQ(lapsed.Window().last_removal, kAtReturn);
+  EXPECT_EQ(lapsed.Window().until, kOutageEnd + seconds(2));
+  EXPECT_EQ(lapsed.Window().last_removal, kRecoveryRevision);
 }
 
 // Guards against requests to upstreams that left: one host lost the store and
@@ -111,10 +113,11 @@
   const store_outage_tracker cut_off = MakeAfterOutage(1);
   store_outage_tracker lapsed = Make(2);
   for (milliseconds at{0}; at <= seconds(5); at += milliseconds(1000)) {
-    lapsed.OnStoreAnswer(kLost + at, 10);
+    lapsed.OnStoreReply(kOutageStart + at, 10);
   }
   for (const milliseconds after : {milliseconds(10), milliseconds(900)}) {
-    Tell(cut_off, kBack + after, Answered(after), milliseconds(100), lapsed);
+    Tell(cut_off, kOutageEnd + after, Answered(after), milliseconds(100),
+         lapsed);
     EXPECT_FALSE(Recovery(lapsed, after + milliseconds(100)));
   }
 }
@@ -123,18 +126,19 @@
 TEST_F(store_outage_tracker_test, TheEarliestWitnessOfAReturnHolds) {
   const store_outage_tracker early = MakeAfterOutage(1);
   store_outage_tracker late =
-      MakeAfterOutage(2, kBack + milliseconds(700), kAtReturn + 5);
-  Tell(early, kBack + milliseconds(700), Answered(milliseconds(0)),
+      MakeAfterOutage(2, kOutageEnd + milliseconds(700), kRecoveryRevision + 5);
+  Tell(early, kOutageEnd + milliseconds(700), Answered(milliseconds(0)),
        milliseconds(100), late);
-  EXPECT_EQ(late.Window().until, kBack + milliseconds(2100));
-  EXPECT_EQ(late.Window().last_removal, kAtReturn);
+  EXPECT_EQ(late.Window().until, kOutageEnd + milliseconds(2100));
+  EXPECT_EQ(late.Window().last_removal, kRecoveryRevision);
   // And the later one takes nothing back, whoever tells it.
   store_outage_tracker other = MakeAfterOutage(3);
-  Tell(MakeAfterOutage(4, kBack + milliseconds(700), kAtReturn + 5),
-       kBack + milliseconds(800), Answered(milliseconds(0)), milliseconds(100),
-       other);
-  EXPECT_EQ(other.Window().until, kBack + seconds(2));
-  EXPECT_EQ(other.Window().last_removal, kAtReturn);
+  Tell(
+      MakeAfterOutage(4, kOutageEnd + milliseconds(700), kRecoveryRevision + 5),
+      kOutageEnd + milliseconds(800), Answered(milliseconds(0)),
+      milliseconds(100), other);
+  EXPECT_EQ(other.Window().until, kOutageEnd + seconds(2));
+  EXPECT_EQ(other.Window().last_removal, kRecoveryRevision);
 }
 
 // Guards against daemons that keep one another waiting for ever.
@@ -144,7 +148,7 @@
   store_outage_tracker first = Make(2);
   store_outage_tracker second = Make(3);
   for (milliseconds at{0}; at < seconds(20); at += kDelay) {
-    const time_point now = kBack + at;
+    const time_point now = kOutageEnd + at;
     Tell(origin, now, std::nullopt, kDelay, first);
     Tell(first, now, std::nullopt, kDelay, second);
     Tell(second, now, std::nullopt, kDelay, first);
@@ -158,23 +162,25 @@
 // All is refused where the store goes away again before upstreams could return.
 TEST_F(store_outage_tracker_test, NothingIsDecidedWhileTheStoreIsAway) {
   store_outage_tracker lapsed = MakeAfterOutage(1);
-  EXPECT_FALSE(lapsed.IsStoreUnavailable(kBack + milliseconds(2000)));
-  EXPECT_TRUE(lapsed.IsStoreUnavailable(kBack + milliseconds(2500)));
-  lapsed.OnStoreAnswer(kBack + seconds(4), kAtReturn + 9);
-  EXPECT_FALSE(lapsed.IsStoreUnavailable(kBack + seconds(4)));
-  EXPECT_EQ(lapsed.Window().until, kBack + seconds(6));
-  EXPECT_EQ(lapsed.Window().last_removal, kAtReturn + 9);
+  EXPECT_FALSE(lapsed.IsStoreUnavailable(kOutageEnd + milliseconds(2000)));
+  EXPECT_TRUE(lapsed.IsStoreUnavailable(kOutageEnd + milliseconds(2500)));
+  lapsed.OnStoreReply(kOutageEnd + seconds(4), kRecoveryRevision + 9);
+  EXPECT_FALSE(lapsed.IsStoreUnavailable(kOutageEnd + seconds(4)));
+  EXPECT_EQ(lapsed.Window().until, kOutageEnd + seconds(6));
+  EXPECT_EQ(lapsed.Window().last_removal, kRecoveryRevision + 9);
 }
 
 // All is refused after an outage, because a daemon of an earlier release tells
 // of the return without its revision.
 TEST_F(store_outage_tracker_test, AReturnWithoutARevisionIsNotTaken) {
   store_outage_tracker lapsed = MakeAfterOutage(1);
-  const time_point now = kBack + milliseconds(500);
-  lapsed.OnPeer(now, {.event = 9, .left = milliseconds(1700)}, std::nullopt);
-  EXPECT_EQ(lapsed.Window().last_removal, kAtReturn);
+  const time_point now = kOutageEnd + milliseconds(500);
+  lapsed.OnPeerReport(now, {.event = 9, .left = milliseconds(1700)},
+                      std::nullopt);
+  EXPECT_EQ(lapsed.Window().last_removal, kRecoveryRevision);
   store_outage_tracker other = Make(2);
-  other.OnPeer(now, {.event = 9, .left = milliseconds(1700)}, std::nullopt);
+  other.OnPeerReport(now, {.event = 9, .left = milliseconds(1700)},
+                     std::nullopt);
   EXPECT_FALSE(Recovery(other, milliseconds(500)));
 }
 
@@ -182,20 +188,22 @@
 // long ago.
 TEST_F(store_outage_tracker_test, TimesOutOfRangeAreBounded) {
   store_outage_tracker lapsed = Make(1);
-  lapsed.OnPeer(kBack, {.event = 9, .left = seconds(900), .revision = 4},
-                std::nullopt);
-  EXPECT_EQ(lapsed.Window().until, kBack + seconds(2));
-  lapsed.OnPeer(kBack, {.event = 9, .left = -seconds(900), .revision = 4},
-                std::nullopt);
-  EXPECT_EQ(lapsed.Window().until, kBack);
+  lapsed.OnPeerReport(kOutageEnd,
+                      {.event = 9, .left = seconds(900), .revision = 4},
+                      std::nullopt);
+  EXPECT_EQ(lapsed.Window().until, kOutageEnd + seconds(2));
+  lapsed.OnPeerReport(kOutageEnd,
+                      {.event = 9, .left = -seconds(900), .revision = 4},
+                      std::nullopt);
+  EXPECT_EQ(lapsed.Window().until, kOutageEnd);
 }
 
 // Guards against requests to upstreams that left: a process that had just
 // started took its first answer for the store's return.
 TEST_F(store_outage_tracker_test, AFirstAnswerIsNoReturn) {
   store_outage_tracker lapsed = Make(1);
-  EXPECT_FALSE(lapsed.IsStoreUnavailable(kBack));
-  lapsed.OnStoreAnswer(kBack, kAtReturn);
+  EXPECT_FALSE(lapsed.IsStoreUnavailable(kOutageEnd));
+  lapsed.OnStoreReply(kOutageEnd, kRecoveryRevision);
   EXPECT_FALSE(Recovery(lapsed, milliseconds(0)));
 }
 
