--- a/include/cuminswitch/Fleet/address_selection.h
+++ b/include/cuminswitch/Fleet/address_selection.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which hosts' addresses a caller is told.
+/// Selects the host addresses that a caller receives.
 #ifndef CUMINSWITCH_FLEET_ADDRESS_SELECTION_H_
 #define CUMINSWITCH_FLEET_ADDRESS_SELECTION_H_
 
@@ -13,24 +13,26 @@
 
 namespace cuminswitch {
 
-/// Who asks for addresses.
+/// A caller's request for addresses.
 struct address_query {
-  /// The caller's; empty where it does not say.
+  /// The caller's failure domain; empty if the caller does not give one.
   std::string_view failure_domain;
-  /// Stands for the caller. It gets much the same addresses each time, so that
-  /// it goes on using its connections; others get others.
+  /// Identifies the caller. The same value yields nearly the same addresses on
+  /// each request, so that the caller keeps its connections; different values
+  /// yield different addresses.
   uint64_t caller = 0;
-  /// Addresses that an answer holds.
+  /// Maximum number of addresses in the response.
   size_t max_count = 64;
 };
 
-/// Chooses among \p serving for the load of a fleet with more hosts than an
-/// answer names: callers spread evenly over the hosts of their failure domain,
-/// and hold some addresses of others, with which they survive the loss of it
-/// until they ask again. Where the domain has fewer hosts than fit, hosts of
-/// the others fill the answer.
+/// Selects addresses from \p serving so that load spreads over a fleet with
+/// more hosts than a response lists. Callers are distributed evenly over the
+/// hosts of their failure domain, and also receive some addresses in other
+/// domains, with which they survive the loss of their own domain until their
+/// next request. If the domain has fewer hosts than fit, hosts of other domains
+/// fill the response.
 std::vector<endpoint> ChooseAddresses(std::span<const daemon_record> serving,
-                                      const address_query& question);
+                                      const address_query& query);
 
 }  // namespace cuminswitch
 
--- a/include/cuminswitch/Fleet/boot_clock.h
+++ b/include/cuminswitch/Fleet/boot_clock.h
@@ -1,5 +1,5 @@
 /// \file
-/// The time that passes also while the host is suspended.
+/// A clock that also counts the time during which the host is suspended.
 #ifndef CUMINSWITCH_FLEET_BOOT_CLOCK_H_
 #define CUMINSWITCH_FLEET_BOOT_CLOCK_H_
 
@@ -7,8 +7,9 @@
 
 namespace cuminswitch {
 
-/// Reads CLOCK_BOOTTIME. A steady clock stands still while a host is suspended,
-/// so leases and deadlines that ended meanwhile would look alive.
+/// Reads CLOCK_BOOTTIME. CLOCK_MONOTONIC does not advance while the host is
+/// suspended, so leases and deadlines that expired meanwhile would still appear
+/// valid.
 time_point ReadBootClock();
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Fleet/engine_control.h
+++ b/include/cuminswitch/Fleet/engine_control.h
@@ -1,5 +1,5 @@
 /// \file
-/// Questions and orders to engines.
+/// Interface for querying inference engines and sending them commands.
 #ifndef CUMINSWITCH_FLEET_ENGINE_CONTROL_H_
 #define CUMINSWITCH_FLEET_ENGINE_CONTROL_H_
 
@@ -11,15 +11,16 @@
 
 namespace cuminswitch {
 
-/// Calls end in one callback each, from the event loop.
+/// Each call invokes its callback exactly once, from the event loop.
 class engine_control {
  public:
   virtual ~engine_control() = default;
-  /// Asks for the engine's state; nothing when no answer could be had.
+  /// Queries the engine's state. `done` gets an empty report if the engine did
+  /// not respond.
   virtual void QueryState(
       const rollout_step& step,
       std::function<void(std::optional<engine_report>)> done) = 0;
-  /// Gives the order under the leader's \p fence.
+  /// Sends the command in \p step with the leader's fencing token \p fence.
   virtual void SendCommand(const rollout_step& step,
                            revision_number fence,
                            std::function<void(command_result)> done) = 0;
--- a/include/cuminswitch/Fleet/fleet_snapshot.h
+++ b/include/cuminswitch/Fleet/fleet_snapshot.h
@@ -1,5 +1,5 @@
 /// \file
-/// What a daemon knows of the deployment, decoded.
+/// Decoded state of the deployment: upstreams, daemons, configuration.
 #ifndef CUMINSWITCH_FLEET_FLEET_SNAPSHOT_H_
 #define CUMINSWITCH_FLEET_FLEET_SNAPSHOT_H_
 
@@ -16,7 +16,8 @@
 
 namespace cuminswitch {
 
-/// A model's weights at an upstream, or as the operators want them.
+/// Version of a model's weights: the one loaded by an upstream, or the target
+/// set by the operators.
 struct weights_version {
   std::string model;
   uint64_t version = 0;
@@ -24,75 +25,78 @@
                          const weights_version&) = default;
 };
 
-/// One start of one upstream.
+/// Store entry of one run of an upstream.
 struct upstream_entry {
-  /// Mostly new with each start, but an upstream may start again under it.
+  /// Usually differs between runs, but an upstream may restart with the same
+  /// id.
   std::string id;
   std::string service;
   endpoint address;
   std::string failure_domain;
   uint32_t slots = 0;
   bool is_draining = false;
-  /// When it started, in Unix milliseconds of its own clock; tells its starts
-  /// apart, the greater one being the later. 0 where it does not say.
+  /// Start time in Unix milliseconds by the upstream's own clock. It
+  /// distinguishes runs of one upstream: the greater value is the later run. 0
+  /// if not given.
   uint64_t started = 0;
-  /// The store's revision of the entry.
+  /// Store revision at which the entry was last changed.
   revision_number revision = 0;
   std::vector<weights_version> weights;
   friend bool operator==(const upstream_entry&,
                          const upstream_entry&) = default;
 };
 
-/// Entries never change; all who need one share it.
+/// Entries are immutable and shared.
 using upstream_ref = std::shared_ptr<const upstream_entry>;
 
-/// What the store says of one upstream now.
+/// Change of one upstream's store entry.
 struct upstream_entry_update {
   std::string id;
-  /// Null where it has no entry that can be read.
+  /// Null if the entry was removed or cannot be decoded.
   upstream_ref entry;
-  /// It has one that cannot be read: it is listed, but not to be used.
+  /// The entry exists but cannot be decoded; the upstream must not be used.
   bool is_unreadable = false;
-  /// The store's revision of the change.
+  /// Store revision of the change.
   revision_number revision = 0;
 };
 
-/// Another daemon, as the store lists it.
+/// Store entry of another daemon.
 struct daemon_entry {
   std::string name;
   endpoint peer_address;
   friend bool operator==(const daemon_entry&, const daemon_entry&) = default;
 };
 
-/// What is known besides the upstreams. Immutable once published.
+/// Decoded store contents except the upstreams. Immutable once published.
 struct fleet_snapshot {
-  /// Null until a configuration is known.
+  /// Null until the first configuration has been received.
   std::shared_ptr<const routing_config> config;
   std::vector<weights_version> wanted_weights;
   std::vector<daemon_entry> daemons;
-  /// Digests of requests that are kept away from upstreams.
+  /// Digests of quarantined requests, which are not sent to upstreams.
   std::vector<hash128> quarantined;
-  /// Who may order engines; empty when nobody does.
+  /// Name of the daemon that holds leadership and may send commands to engines;
+  /// empty if there is none.
   std::string leader;
   revision_number revision = 0;
 };
 
-/// What changed items say that was not known before.
+/// Result of decoding changed items; holds only what differs from before.
 struct decoded_items {
-  /// Null where all of it is as it was.
+  /// Null if unchanged.
   std::shared_ptr<const fleet_snapshot> snapshot;
   std::vector<upstream_entry_update> upstreams;
-  /// The keys that said so.
+  /// Keys of the items that caused these changes.
   std::vector<std::string> changed_keys;
 };
 
-/// Turns stored items into knowledge. It keeps what it decoded, and visits only
-/// what changed.
+/// Decodes store items into a fleet snapshot. Keeps the decoded state and
+/// processes only changed items.
 class fleet_snapshot_decoder {
  public:
   virtual ~fleet_snapshot_decoder() = default;
-  /// Takes in the items under \p keys as \p view has them; those that it lacks
-  /// are forgotten.
+  /// Decodes the items of \p view under \p keys. State of keys that are missing
+  /// from \p view is dropped.
   virtual decoded_items Decode(const item_view& view,
                                std::span<const std::string> keys) = 0;
 };
--- a/include/cuminswitch/Fleet/fleet_task.h
+++ b/include/cuminswitch/Fleet/fleet_task.h
@@ -1,5 +1,5 @@
 /// \file
-/// The task that knows the deployment.
+/// The task that keeps track of the deployment.
 #ifndef CUMINSWITCH_FLEET_FLEET_TASK_H_
 #define CUMINSWITCH_FLEET_FLEET_TASK_H_
 
@@ -32,24 +32,27 @@
 class event_log;
 class kernel;
 
-/// Follows the store, talks to peers, and, while it leads, brings engines to
-/// the wanted weights. Its news go to the edge.
+/// Follows the store, exchanges heartbeats and items with peers and, while this
+/// daemon is the leader, updates engines to the target weights. Sends its
+/// events to the edge.
 class fleet_task : public loop_task<fleet_message>, public peer_frame_handler {
  public:
   struct options {
     daemon_record self;
     std::vector<endpoint> seeds;
-    /// Where this daemon lists itself, and where leaders hold their lease.
+    /// Key prefix under which daemons register, and key that the leader holds
+    /// under its lease.
     std::string daemons_prefix;
     std::string leader_key;
-    /// Where requests are listed that are kept away from upstreams.
+    /// Key prefix of the records of quarantined requests.
     std::string quarantine_prefix;
-    /// No two leaders may send orders within this time of each other.
+    /// Minimum time between the last command of one leader and the first
+    /// command of its successor.
     duration leader_gap = std::chrono::seconds(3);
-    /// Between two signs of an upstream to the store.
+    /// Interval at which an upstream renews its entry in the store.
     duration upstream_interval = std::chrono::milliseconds(1200);
   };
-  /// What the task works with; all of it outlives the task.
+  /// Dependencies of the task, which must outlive it.
   struct parts {
     item_store& store;
     fleet_snapshot_decoder& decoder;
@@ -71,7 +74,7 @@
 
  private:
   bool OnFrame(std::span<const uint8_t> frame) override;
-  void OnHeartbeatFrame(const heartbeat_frame& beat);
+  void OnHeartbeatFrame(const heartbeat_frame& heartbeat);
   void OnItemsRequest(const items_request_frame& request);
   void OnItemsReply(const items_reply_frame& reply);
 
@@ -81,26 +84,26 @@
   void PublishUpstreams();
   void UpdateFollowing(time_point now);
   void RegisterSelf();
-  /// Writes down which requests crash upstreams.
+  /// Records in the store which requests crash upstreams.
   void RecordQuarantines(time_point now);
   void SendHeartbeat(const endpoint& to);
   void BroadcastHeartbeat();
   void RequestItems(time_point now);
-  /// Tells the edge of peers that came, went or say something else of
-  /// themselves, but not more often than a daemon can work through it: in a
-  /// fleet that starts each beat is news.
+  /// Sends the edge the peers that are alive if any were added, failed or
+  /// changed. Limits the rate, since in a starting fleet each heartbeat brings
+  /// a change.
   void PublishPeers(time_point now);
-  /// Tells the edge and the log when the items become stale, and when they are
-  /// current again.
+  /// Reports to the edge and the log when the items become stale, and when they
+  /// are current again.
   void PublishStaleness(time_point now);
-  /// Notes for the log how \p living differs from what was published.
-  void RecordPeerChanges(std::span<const daemon_record> living);
-  /// Tells the log what changed in the lists of peers and upstreams.
+  /// Records for the log how \p alive differs from the peers published last.
+  void RecordPeerChanges(std::span<const daemon_record> alive);
+  /// Logs the recorded changes of peers and upstreams.
   void LogListChanges(time_point now);
-  /// Tells the log of a return of the store after which entries may be missing.
+  /// Logs a recovery of the store after which entries may be missing.
   void LogStoreRecovery(time_point now);
-  /// Tells the log which peers came under suspicion, and when this daemon said
-  /// something new of itself, as it does when it is suspected.
+  /// Logs which peers became suspected, and when this daemon incremented the
+  /// version of its own record, e.g. to refute a suspicion.
   void LogSuspicions();
   void PublishChanging();
   void RunRollout(time_point now);
@@ -129,13 +132,14 @@
   own_limits own_limits_;
   std::vector<quarantine_record> quarantined_;
   crash_update_queue crash_updates_;
-  /// A daemon places up to 20 prefixes in a second and reaches each peer of a
-  /// fleet that it goes through within 1.5 s, and each partner within 2 s.
+  /// Prefixes placed by this daemon. A daemon places up to 20 per second, and
+  /// sends each peer a heartbeat within 1.5 s in a fleet where it rotates
+  /// through all peers, and each gossip partner within 2 s in a larger one.
   peer_update_log<placed_prefix, 256> placement_log_;
   std::vector<std::string> leader_changing_;
   std::vector<std::string> published_changing_;
   time_point leader_changing_at_{};
-  /// The living peers as the edge knows them, in the order of their names.
+  /// The peers that are alive as last published to the edge, ordered by name.
   std::vector<daemon_record> published_peers_;
   time_point published_peers_at_{};
   size_t published_possibly_active_ = 0;
@@ -144,7 +148,7 @@
   list_changes peer_changes_;
   list_changes upstream_changes_;
   list_changes retained_changes_;
-  /// The return of the store that the log was last told to be awaited.
+  /// The recovery of the store that was logged last.
   uint64_t logged_recovery_ = 0;
   items_request_tracker items_requests_;
   item_list_cache item_list_;
--- a/include/cuminswitch/Fleet/item_list_cache.h
+++ b/include/cuminswitch/Fleet/item_list_cache.h
@@ -1,5 +1,5 @@
 /// \file
-/// The list of all items, ready to be handed to peers.
+/// Cache of the encoded list of all items, which is sent to peers.
 #ifndef CUMINSWITCH_FLEET_ITEM_LIST_CACHE_H_
 #define CUMINSWITCH_FLEET_ITEM_LIST_CACHE_H_
 
@@ -12,19 +12,21 @@
 
 class item_view;
 
-/// Keeps the encoded list for those that ask at about the same time.
+/// Serves the same encoded list to peers that request it at about the same
+/// time.
 ///
-/// When a whole fleet starts, a daemon hands the same list to a hundred others
-/// within a second. Making and compressing a list of 3,000 items takes 24 ms of
-/// a whole core, and a host has an eighth of one.
+/// When a whole fleet starts, a daemon sends the same list to a hundred others
+/// within a second. Encoding and compressing a list of 3,000 items takes 24 ms
+/// on a full core, and a host has an eighth of a core.
 class item_list_cache {
  public:
-  /// Returns a frame with all items of \p view, newer than \p after. It may be
-  /// a second old; what changed since comes with the next question.
+  /// Returns an encoded reply frame with all items of \p view, of a revision
+  /// greater than \p after. The list may be up to a second old; later changes
+  /// follow with the peer's next request.
   const std::string& Get(time_point now,
                          const item_view& view,
                          revision_number after);
-  /// Lists that were encoded.
+  /// Number of lists encoded so far.
   size_t encoded_count() const { return encoded_count_; }
 
  private:
--- a/include/cuminswitch/Fleet/item_store.h
+++ b/include/cuminswitch/Fleet/item_store.h
@@ -1,5 +1,5 @@
 /// \file
-/// The platform's store, as the product needs it.
+/// Interface to the platform's key-value store.
 #ifndef CUMINSWITCH_FLEET_ITEM_STORE_H_
 #define CUMINSWITCH_FLEET_ITEM_STORE_H_
 
@@ -15,19 +15,20 @@
 
 namespace cuminswitch {
 
-/// How a call to the store ended.
+/// Status of a call to the store.
 enum class store_status : uint8_t {
   kDone,
-  /// The store did nothing: it is overloaded or turns this daemon away.
+  /// The store rejected the call without effect, e.g. because it is overloaded
+  /// or refuses this daemon.
   kRefused,
-  /// No answer, or none that could be read: the call may have been carried
-  /// out, or may still be.
+  /// No reply, or none that could be decoded: the call may have been executed,
+  /// or may still be.
   kUnknown,
-  /// A condition did not hold; nothing was done.
+  /// A precondition failed; the call had no effect.
   kConflict,
-  /// The lease has ended, or never was.
+  /// The lease has expired or never existed.
   kNoLease,
-  /// The history that was asked for is not kept any more.
+  /// The store no longer retains the requested history.
   kHistoryGone,
 };
 
@@ -35,48 +36,49 @@
 
 using lease_number = uint64_t;
 
-/// The answer to a read or a watch.
+/// Reply to a read or a watch.
 struct store_items {
   store_status status = store_status::kUnknown;
   std::vector<item_change> items;
-  /// The store's revision that the answer is as of.
+  /// Store revision that the reply reflects.
   revision_number revision = 0;
 };
 
-/// The answer to a lease call.
+/// Reply to a lease call.
 struct store_lease {
   store_status status = store_status::kUnknown;
   lease_number lease = 0;
   std::chrono::milliseconds time_to_live{0};
 };
 
-/// The answer to a write.
+/// Reply to a write.
 struct store_write {
   store_status status = store_status::kUnknown;
   revision_number revision = 0;
 };
 
-/// A write of one item under the condition that it is as \p expected says.
+/// A write of one item that takes effect only if the item's revision is
+/// `expected`.
 struct conditional_write {
   std::string key;
   std::string value;
-  /// Write only while the item's revision is this, 0 meaning that it does not
-  /// exist; no condition when empty.
+  /// Required current revision of the item; 0 requires that the item does not
+  /// exist, empty means unconditional.
   std::optional<revision_number> expected;
-  /// The item goes when this lease ends; 0 for none.
+  /// The store removes the item when this lease ends; 0 for no lease.
   lease_number lease = 0;
 };
 
-/// Calls end in one callback each, from the event loop.
+/// Each call invokes its callback exactly once, from the event loop.
 class item_store {
  public:
   virtual ~item_store() = default;
-  /// Reads all items, in as many pages as it takes. After a failure the next
-  /// read goes on behind the last page that came.
+  /// Reads all items in pages. After a failure the next read resumes after the
+  /// last page received.
   virtual void ReadAll(std::function<void(store_items)> done) = 0;
-  /// Gives up the read that is under way, if any; its callback does not come.
+  /// Cancels the read in progress, if any; its callback is not invoked.
   virtual void StopReading() = 0;
-  /// Waits for changes after \p after, at most for \p wait.
+  /// Waits up to \p wait for changes after revision \p after.
   virtual void Watch(revision_number after,
                      std::chrono::milliseconds wait,
                      std::function<void(store_items)> done) = 0;
--- a/include/cuminswitch/Fleet/item_watcher.h
+++ b/include/cuminswitch/Fleet/item_watcher.h
@@ -1,5 +1,5 @@
 /// \file
-/// Keeps a view of the store's items up to date.
+/// Keeps the local replica of the store's items up to date.
 #ifndef CUMINSWITCH_FLEET_ITEM_WATCHER_H_
 #define CUMINSWITCH_FLEET_ITEM_WATCHER_H_
 
@@ -21,55 +21,55 @@
 class event_log;
 struct items_reply_frame;
 
-/// Reads everything once, then follows the changes; begins anew when the store
-/// has dropped the history in between.
+/// Reads all items once, then watches for changes. Reads all items again if the
+/// store has discarded the history in between.
 class item_watcher {
  public:
   struct handlers {
-    /// Called with the keys of items that changed or are forgotten.
+    /// Called with the keys of items that changed or were pruned.
     std::function<void(std::span<const std::string> keys)> on_change;
-    /// Called with the time of each answer of the store, and with the revision
-    /// that it is as of, before its changes.
+    /// Called for each reply of the store, before its changes are applied, with
+    /// the time of the reply and the revision that it reflects.
     std::function<void(time_point at, revision_number revision)> on_reply;
   };
 
   item_watcher(event_base* base,
                item_store& store,
                event_log& log,
-               handlers calls);
+               handlers callbacks);
   ~item_watcher();
 
   void Start();
-  /// Whether to follow the store. While it does not, items come from peers.
+  /// Sets whether to watch the store. Without that, items come from peers only.
   void SetFollowing(bool follows);
   bool IsFollowing() const { return is_following_; }
-  /// Whom the daemon asked last, and how long ago.
+  /// The last items request to a peer, and the time since it was sent.
   struct peer_request {
     std::string_view peer;
-    duration took{0};
+    duration elapsed{0};
   };
-  /// Takes in items that a peer sent as the answer to \p asked.
-  void OnPeerItems(const items_reply_frame& reply, const peer_request& asked);
+  /// Applies items that a peer sent in reply to \p request.
+  void OnPeerItems(const items_reply_frame& reply, const peer_request& request);
   const item_view& view() const { return view_; }
-  /// The changes of the items under \p keys are news to peers.
+  /// Marks the last changes of the items \p keys for relay to peers.
   void MarkForRelay(std::span<const std::string> keys);
-  /// Whether the store answered this daemon within \p span.
+  /// Whether the store replied to this daemon within the last \p span.
   bool IsFresh(time_point now, duration span) const {
     return now - last_reply_at_ <= span;
   }
-  /// When the store last answered this daemon.
+  /// When the store last replied to this daemon.
   time_point last_reply_at() const { return last_reply_at_; }
-  /// When it last failed to.
+  /// When a call to the store last failed.
   time_point last_failure_at() const { return last_failure_at_; }
-  /// Whether the store's last answer to this daemon was a failure.
+  /// Whether the last call to the store failed.
   bool HasFailed() const { return has_failed_; }
 
  private:
   void Next();
   void ReadAll();
   void Watch();
-  void OnItems(bool is_complete, const store_items& answer);
-  void OnFailure(store_status end);
+  void OnItems(bool is_complete, const store_items& reply);
+  void OnFailure(store_status status);
   void OnSuccess();
 
   item_store& store_;
@@ -80,10 +80,10 @@
   bool must_read_all_ = true;
   bool has_failed_ = false;
   bool is_following_ = true;
-  /// A call is under way, or the timer for the next one runs.
+  /// A call is in progress, or the timer for the next one is running.
   bool is_busy_ = false;
   duration retry_delay_{0};
-  /// When the call that is under way, or the last one, began.
+  /// Start of the current or the last call.
   time_point called_at_{};
   time_point last_reply_at_{};
   time_point last_failure_at_{};
--- a/include/cuminswitch/Fleet/items_request_tracker.h
+++ b/include/cuminswitch/Fleet/items_request_tracker.h
@@ -1,5 +1,5 @@
 /// \file
-/// When a daemon asks its peers for items again.
+/// Limits how often a daemon requests items from its peers.
 #ifndef CUMINSWITCH_FLEET_ITEMS_REQUEST_TRACKER_H_
 #define CUMINSWITCH_FLEET_ITEMS_REQUEST_TRACKER_H_
 
@@ -10,24 +10,25 @@
 
 namespace cuminswitch {
 
-/// Keeps one question under way at a time.
+/// Allows one items request at a time.
 ///
-/// An answer may be the fleet's whole list, a megabyte where there are
-/// thousands of upstreams, and a slow link needs longer for it than the
-/// interval between questions. Asked again meanwhile, a peer would send the
-/// same list again and again, and hold all of them in memory.
+/// A reply may be the complete list of items, about a megabyte with thousands
+/// of upstreams, and a slow link needs longer for it than the interval between
+/// requests. If requests were repeated meanwhile, the peer would send the same
+/// list several times and hold all copies in memory.
 class items_request_tracker {
  public:
   bool MaySend(time_point now) const;
   void OnSent(time_point now, std::string peer);
   void OnReply() { is_pending_ = false; }
-  /// Whether the last question is still without an answer.
+  /// Whether the last request has not been answered yet.
   bool IsPending() const { return is_pending_; }
-  /// Whom the last question went to, and when.
+  /// Recipient and time of the last request.
   const std::string& peer() const { return peer_; }
-  time_point asked_at() const { return sent_at_; }
-  /// Questions so far; another peer is asked each time.
-  uint64_t turn() const { return request_count_; }
+  time_point sent_at() const { return sent_at_; }
+  /// Number of requests sent so far; used to select a different peer for each
+  /// request.
+  uint64_t request_count() const { return request_count_; }
 
  private:
   time_point sent_at_{};
--- a/include/cuminswitch/Fleet/leader_election.h
+++ b/include/cuminswitch/Fleet/leader_election.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which daemon gives orders to engines.
+/// Elects the daemon that sends commands to engines.
 #ifndef CUMINSWITCH_FLEET_LEADER_ELECTION_H_
 #define CUMINSWITCH_FLEET_LEADER_ELECTION_H_
 
@@ -12,39 +12,41 @@
 
 namespace cuminswitch {
 
-/// Holds a leased key of the store while it leads. Times are of a clock that
-/// counts while the host is suspended: a leader that wakes up after its lease
-/// has ended must see that before it sends anything.
+/// A leader holds a leased key in the store. Times are of a clock that also
+/// counts while the host is suspended (`ReadBootClock`): a leader that resumes
+/// after its lease has expired must detect that before it sends a command.
 class leader_election {
  public:
   struct options {
     std::string self_name;
     std::string key;
-    /// No two leaders may send within this time of each other.
+    /// Minimum time between the last command of one leader and the first
+    /// command of its successor.
     duration handover_gap = std::chrono::seconds(3);
     std::chrono::milliseconds lease_time{1500};
-    /// Delays this daemon's claim, so that not all claim at once.
+    /// Delay of this daemon's claim, so that daemons do not claim all at once.
     duration claim_delay{0};
   };
 
   leader_election(options opts, item_store& store);
   ~leader_election();
 
-  /// \p leader is who holds the key, as far as is known; empty for nobody.
+  /// \p leader is the last known holder of the key; empty for none.
   void OnTick(time_point now, const std::string& leader);
-  /// Whether an order may be sent now.
+  /// Whether a command may be sent now.
   bool MaySendCommand(time_point now) const;
   bool IsLeading(time_point now) const {
     return fence_ != 0 && now < valid_until_;
   }
-  /// Grows from leader to leader.
+  /// Fencing token of this term; increases with each term.
   revision_number fence() const { return fence_; }
-  /// Gives up the lead; the lease ends at once if the store is reached.
+  /// Gives up leadership for the life of this process. The lease ends at once
+  /// if the store is reachable; otherwise it expires.
   void Resign();
 
  private:
   void Claim(time_point now);
-  void OnLease(time_point asked_at, const store_lease& answer);
+  void OnLease(time_point called_at, const store_lease& reply);
   void Renew(time_point now);
   void DropLeadership();
 
--- a/include/cuminswitch/Fleet/routing_config.h
+++ b/include/cuminswitch/Fleet/routing_config.h
@@ -1,6 +1,6 @@
 /// \file
-/// What the operators want, as typed data. The structs are one family and
-/// share this header.
+/// The routing configuration set by the operators, as typed data. The structs
+/// belong together and share this header.
 #ifndef CUMINSWITCH_FLEET_ROUTING_CONFIG_H_
 #define CUMINSWITCH_FLEET_ROUTING_CONFIG_H_
 
@@ -16,17 +16,18 @@
 
 namespace cuminswitch {
 
-/// What may be repeated of a route's requests.
+/// How a route's requests may be retried.
 enum class request_kind : uint8_t {
   kRepeatable,
   kOnce,
-  /// A stream of events that runs at most once.
+  /// A stream of events with at-most-once execution.
   kStream,
-  /// A stream that another upstream may continue after its last event.
+  /// A stream of events that another upstream may resume after the last event
+  /// sent.
   kResumableStream,
 };
 
-/// A service's part of a route's requests.
+/// A service's share of a route's requests.
 struct route_share {
   std::string service;
   uint32_t weight = 1;
@@ -38,24 +39,25 @@
   /// Begins and ends with a slash.
   std::string path_prefix;
   request_kind kind = request_kind::kOnce;
-  /// The longest time that a request may be kept waiting.
+  /// Maximum time until a request gets its response.
   std::chrono::milliseconds timeout{0};
-  /// The time within which an answer is worth everything.
+  /// Target latency; a response within it has full value to the caller.
   std::chrono::milliseconds target_latency{0};
-  /// The longest pause between events of a stream that is on time.
+  /// Maximum gap between events of a stream that counts as on time.
   std::chrono::milliseconds max_event_gap{500};
-  /// After this long without an event the caller of a stream leaves; 0 for not
-  /// known.
+  /// Time without an event after which the caller closes a stream; 0 if
+  /// unknown.
   std::chrono::milliseconds caller_idle_timeout{0};
-  /// Upstreams that may run a request.
+  /// Maximum number of upstreams to which a request is sent.
   uint32_t max_attempts = 1;
   /// 0 is the most urgent.
   uint32_t rank = 0;
-  /// Needs no credential.
+  /// Whether requests need no credential.
   bool is_public = false;
   std::vector<route_share> shares;
 
-  /// Whether a request may run again, a stream after its last event.
+  /// Whether a request may be retried at another upstream; a stream resumes
+  /// after its last event.
   bool MayRepeat() const {
     return kind == request_kind::kRepeatable ||
            kind == request_kind::kResumableStream;
@@ -66,62 +68,64 @@
   }
 };
 
-/// A store of cached prefixes.
+/// A store of cached prompt prefixes.
 struct cache_store_config {
   endpoint address;
   std::string failure_domain;
-  /// Megabits per second of its link.
+  /// Bandwidth of its link in Mbit/s.
   double link_rate = 0;
 };
 
-/// A service whose upstreams answer a route's requests.
+/// A service whose upstreams handle a route's requests.
 struct service_config {
   std::string name;
   bool is_engine = false;
   /// Models that its engines serve.
   std::vector<std::string> models;
-  /// Megabits that one prompt token's cached prefix takes.
+  /// Size of the cached prefix per prompt token, in megabits.
   double token_megabits = 0;
-  /// Prompt tokens per second that an engine's link carries as cached prefix.
+  /// Rate at which an engine's link transfers cached prefixes, in prompt tokens
+  /// per second.
   double copy_rate = 0;
-  /// Prompt tokens that one engine has memory for, running requests included.
+  /// Capacity of one engine's prefix cache in prompt tokens, including running
+  /// requests.
   double cache_tokens = 0;
-  /// Set for a store of cached prefixes; it has no upstreams.
+  /// Set only for a store of cached prefixes, which has no upstreams.
   std::optional<cache_store_config> cache_store;
-  /// Connections that one upstream takes from all daemons together.
+  /// Maximum number of connections to one upstream from all daemons together.
   uint32_t max_connections = 0;
 };
 
-/// What a quota counts.
+/// Unit of a quota.
 enum class quota_unit : uint8_t {
   kRequests,
-  /// Tokens that a request reads and may write.
+  /// Prompt tokens plus the maximum completion tokens of a request.
   kTokens,
 };
 
-/// What a workspace may use over the whole fleet.
+/// Quota of a workspace across the whole fleet.
 struct quota_config {
-  /// Units a second, more than 0.
+  /// Units per second; greater than 0.
   double rate = 0;
-  /// Units that may be used at once beyond the rate.
+  /// Units that may be used at once in excess of the rate.
   double burst = 0;
   quota_unit unit = quota_unit::kRequests;
-  /// Tokens that a request counts that does not say how many it takes.
+  /// Tokens charged for a request that does not state its token count.
   double uncounted_tokens = 0;
 };
 
 struct workspace_config {
   std::string name;
   std::vector<std::string> credentials;
-  /// In place of the routes' rank.
+  /// Overrides the rank of the routes.
   std::optional<uint32_t> rank;
-  /// Shares no cached prefix with any other workspace.
+  /// Whether cached prefixes are not shared with other workspaces.
   bool is_isolated = false;
-  /// Nothing for no limit.
+  /// Empty for no limit.
   std::optional<quota_config> quota;
 };
 
-/// A configuration in full.
+/// A complete configuration.
 struct routing_config {
   uint64_t version = 0;
   std::vector<route_spec> routes;
@@ -135,10 +139,11 @@
   /// Returns the route of \p host with the longest prefix of \p path, or null.
   const route_spec* FindRoute(std::string_view host,
                               std::string_view path) const;
-  /// Returns who holds \p credential, or null.
+  /// Returns the workspace that \p credential belongs to, or null.
   const workspace_config* FindWorkspace(std::string_view credential) const;
   const service_config* FindService(std::string_view name) const;
-  /// Sorts the routes and indexes the credentials; call it once, at the end.
+  /// Sorts the routes and indexes the credentials. Call once, after all fields
+  /// are set.
   void BuildIndex();
 
  private:
--- a/include/cuminswitch/Fleet/store_follower_policy.h
+++ b/include/cuminswitch/Fleet/store_follower_policy.h
@@ -16,37 +16,36 @@
 
 /// Decides whether a daemon follows the store.
 ///
-/// In a large fleet the daemons that rank first among the living follow it for
-/// the others. They may live and not reach it. So a daemon whose items are
-/// stale stands in: it asks the store itself, and goes on for as long as too
-/// few of those that rank before it are answered. One that is not answered
-/// stands down, and tries again after a while that grows with the fleet: the
-/// calls of a fleet that has lost the store stay few.
+/// In a large fleet the daemons that rank first among those alive follow the
+/// store for the others. They may be alive and still not reach the store. So a
+/// daemon whose items are stale takes over: it follows the store itself until
+/// enough daemons that rank before it receive replies from the store. If its
+/// own call fails, it steps down and tries again after a delay that grows with
+/// the fleet size, which limits the calls of a fleet that has lost the store.
 class store_follower_policy {
  public:
-  /// What the daemon knows when it decides.
+  /// Inputs to the decision.
   struct view {
     const daemon_record& self;
-    /// Its living peers.
+    /// Peers that are alive.
     std::span<const daemon_record> alive;
     const staleness_tracker& staleness;
-    /// When the store last answered this daemon, and last failed to.
+    /// Time of this daemon's last successful and last failed call to the store.
     time_point last_reply_at{};
     time_point last_failure_at{};
-    /// Daemons of the deployment.
+    /// Number of daemons in the deployment.
     size_t known = 1;
   };
 
-  /// The living peers changed.
-  void OnPeers(const daemon_record& self,
-               std::span<const daemon_record> living);
+  /// Updates the peers that are alive.
+  void OnPeers(const daemon_record& self, std::span<const daemon_record> alive);
   /// Returns whether to follow the store from now on.
-  bool ShouldFollow(time_point now, const view& seen);
+  bool ShouldFollow(time_point now, const view& inputs);
 
  private:
-  /// Whether enough peers that rank before this daemon have the store.
-  bool MayStepDown(time_point now, const view& seen) const;
-  duration NextTakeoverDelay(const view& seen);
+  /// Whether enough peers that rank before this daemon reach the store.
+  bool MayStepDown(time_point now, const view& inputs) const;
+  duration NextTakeoverDelay(const view& inputs);
 
   bool is_selected_ = true;
   bool has_taken_over_ = false;
--- a/include/cuminswitch/Fleet/store_outage_tracker.h
+++ b/include/cuminswitch/Fleet/store_outage_tracker.h
@@ -1,5 +1,5 @@
 /// \file
-/// Upstreams whose entries went with the store's own trouble.
+/// Detects store outages during which entries of running upstreams expire.
 #ifndef CUMINSWITCH_FLEET_STORE_OUTAGE_TRACKER_H_
 #define CUMINSWITCH_FLEET_STORE_OUTAGE_TRACKER_H_
 
@@ -11,55 +11,62 @@
 
 namespace cuminswitch {
 
-/// Which removals from the store's list may be of upstreams that live.
+/// The removals that may concern upstreams that are still running.
 struct recovery_window {
-  /// What is still missing then is gone.
+  /// End of the window; an upstream whose entry is still missing then has
+  /// stopped.
   time_point until{};
-  /// What was removed after this revision did not lapse.
+  /// Entries removed after this revision did not expire because of the outage.
   revision_number last_removal = 0;
 };
 
-/// Tells whether upstreams that are missing from the store may live.
+/// Decides whether upstreams whose entries are missing may still be running.
 ///
-/// A store that was away from everybody for long has not heard its upstreams,
-/// and drops their entries; those that live are back about two seconds after
-/// its return. Without them a daemon would refuse everything meanwhile. Nothing
-/// else excuses a missing entry: not that the store turned this daemon away
-/// while it answered others, nor that it was away for a moment. What is removed
-/// after the store's return is gone, however soon.
+/// During a long outage the store receives no heartbeats of upstreams, and
+/// their entries expire. Running upstreams register again about two seconds
+/// after the store recovers; without the expired entries a daemon would reject
+/// all requests until then. In every other case a missing entry means that the
+/// upstream has stopped: if the store rejected only this daemon while it
+/// replied to others, if the outage was short, or if the entry was removed
+/// after the recovery, however soon.
 ///
-/// Daemons pass on a return of the store. Of one that several saw, the earliest
-/// time and revision hold, and a return is not believed where the store is
-/// known to have answered just before.
+/// Daemons relay a recovery of the store to each other. If several daemons
+/// observed it, the earliest time and revision apply. A reported recovery is
+/// ignored if the store is known to have replied shortly before it.
 class store_outage_tracker {
  public:
   struct options {
     /// A hash of this daemon's process.
     uint64_t self = 0;
-    /// The store drops no entry that it has not heard for less.
+    /// Minimum duration of an outage in which entries may expire; the store
+    /// keeps entries at least this long without a heartbeat.
     duration min_outage = std::chrono::milliseconds(2400);
   };
 
   explicit store_outage_tracker(const options& opts) : options_(opts) {}
 
-  /// The store answered this daemon at \p at, as of \p revision.
+  /// Records a reply of the store to this daemon at \p at, which reflects
+  /// \p revision.
   void OnStoreReply(time_point at, revision_number revision);
-  /// Takes in what a peer told of the store.
+  /// Records a recovery and a freshness record reported by a peer.
   void OnPeerReport(time_point now,
-                    const store_recovery& told,
-                    const std::optional<freshness_record>& evidence);
-  /// Whether the store is not known to have answered anybody for so long that
-  /// entries may lapse. Nothing that is missing can come back meanwhile.
+                    const store_recovery& reported,
+                    const std::optional<freshness_record>& freshness);
+  /// Whether no daemon is known to have received a reply of the store for so
+  /// long that entries may have expired. Until the store recovers, missing
+  /// upstreams cannot register again.
   bool IsStoreUnavailable(time_point now) const;
-  /// The window of the last return of the store; over where there is none.
+  /// Returns the window of the last recovery; one in the past if there was
+  /// none.
   recovery_window Window() const;
-  /// Returns what to tell peers of it.
+  /// Returns the recovery to report to peers; empty after its window.
   store_recovery Recovery(time_point now) const;
 
  private:
-  /// The first answer of the store to anybody after it had been away.
+  /// First reply of the store to any daemon after an outage.
   struct observed_recovery {
-    /// Names it, as its witness saw it; 0 for none.
+    /// Identifies the recovery, as assigned by the daemon that observed it; 0
+    /// for none.
     uint64_t event = 0;
     time_point at{};
     revision_number revision = 0;
@@ -68,7 +75,7 @@
   void OnRecovery(const observed_recovery& seen);
 
   options options_;
-  /// When the store is last known to have answered anybody.
+  /// Last known time at which the store replied to any daemon.
   std::optional<time_point> last_reply_at_;
   observed_recovery recovery_;
 };
--- a/include/cuminswitch/Fleet/upstream_directory.h
+++ b/include/cuminswitch/Fleet/upstream_directory.h
@@ -1,5 +1,5 @@
 /// \file
-/// The upstreams that may be used.
+/// Directory of the upstreams in use.
 #ifndef CUMINSWITCH_FLEET_UPSTREAM_DIRECTORY_H_
 #define CUMINSWITCH_FLEET_UPSTREAM_DIRECTORY_H_
 
@@ -20,71 +20,72 @@
 
 struct recovery_window;
 
-/// What changed of one upstream in use.
+/// Change of one upstream in use.
 struct upstream_change {
   std::string id;
-  /// Null where it was not in use, or is not any more.
+  /// Null if the upstream was not in use before, or is not in use after the
+  /// change.
   upstream_ref before;
   upstream_ref after;
 };
 
-/// An upstream that the store does not list begins to be kept in use, or
-/// ceases.
+/// Start or end of the retention of an upstream that the store no longer lists.
 struct retained_change {
   std::string id;
-  /// The store's revision of its removal.
+  /// Store revision of its removal.
   revision_number revision = 0;
   bool is_retained = false;
 };
 
-/// Decides which of the listed upstreams are used. Each call costs what it
-/// changes, whatever the number of upstreams.
+/// Decides which of the listed upstreams are used. The cost of each call
+/// depends on the number of changes, not on the number of upstreams.
 ///
-/// An entry that goes missing may be kept for a moment, where the store has
-/// been away and has not heard its upstreams. An upstream whose address another
-/// one has taken is left out: one that crashes comes back under a new id at its
-/// old address, or another service gets that address, seconds before the store
-/// drops the entry of the one that crashed. Requests for the old id are all
-/// turned away there. One process listens at an address, so of several entries
-/// only the one that came last can be true.
+/// A removed entry may be retained for a short time after a store outage, in
+/// which the store received no heartbeats of upstreams. An upstream whose
+/// address now belongs to another one is not used: a crashed upstream restarts
+/// with a new id at its old address, or another service gets that address,
+/// seconds before the store drops the entry of the crashed one, and requests
+/// for the old id are all rejected there. Only one process listens at an
+/// address, so of several entries with the same address only the latest is
+/// valid.
 class upstream_directory {
  public:
-  /// Takes in what the store says of an upstream. An entry that goes missing is
-  /// kept where \p window says that it may have lapsed.
+  /// Applies a change of an upstream's store entry. A removed entry is retained
+  /// if it may have expired during a store outage according to \p window.
   void Apply(time_point now,
-             const upstream_entry_update& news,
+             const upstream_entry_update& update,
              const recovery_window& window);
-  /// Drops entries that were kept, and have not lapsed by what is known now.
+  /// Drops retained entries that \p window no longer covers.
   void Expire(time_point now, const recovery_window& window);
   bool HasRetained() const { return !retained_.empty(); }
 
-  /// Returns what changed since the last call.
+  /// Returns the changes since the last call.
   std::vector<upstream_change> TakeChanges();
-  /// Returns what changed since the last call of upstreams that are kept though
-  /// the store does not list them.
+  /// Returns the retentions that started or ended since the last call.
   std::vector<retained_change> TakeRetainedChanges() {
     return std::exchange(retained_changes_, {});
   }
-  /// Grows with each change.
+  /// Increases with each change.
   uint64_t version() const { return version_; }
 
-  /// The upstream \p id; null where it is not in use.
+  /// Returns the upstream \p id, or null if it is not in use.
   upstream_ref Find(std::string_view id) const;
-  /// All upstreams in use, in the order of their ids.
+  /// Returns all upstreams in use, ordered by id.
   std::vector<upstream_ref> List() const;
-  /// Upstreams of \p service in use.
+  /// Number of upstreams of \p service in use.
   size_t CountOf(std::string_view service) const;
   size_t size() const { return in_use_count_; }
-  /// Listed upstreams whose entries cannot be read.
+  /// Number of listed upstreams whose entries cannot be decoded.
   size_t unreadable_count() const { return unreadable_.size(); }
 
  private:
   struct state {
     upstream_ref entry;
-    /// Another one has taken its address. It stays so for this start, whatever
-    /// a late write says, until the entry is gone.
+    /// Another upstream has taken over the address. Remains set for this run of
+    /// the upstream, despite late writes of its entry, until the entry is
+    /// removed.
     bool is_replaced = false;
-    /// Of its removal, where it is kept though the store does not list it.
+    /// Store revision of the removal if the entry is retained.
     revision_number removed_at = 0;
   };
   struct address_hash {
@@ -93,24 +94,25 @@
 
   void Put(const upstream_ref& entry);
   void Remove(const std::string& id);
-  /// \p id is kept no longer; nothing happens where it was not.
+  /// Ends the retention of \p id, if it is retained.
   void EndRetention(const std::string& id);
-  /// Notes that \p id was \p before until now.
+  /// Records that \p before was the entry of \p id until now.
   void RecordChange(const std::string& id, const upstream_ref& before);
-  /// \p item begins to be in use, or ceases.
+  /// Puts \p item into use, or takes it out of use.
   void Activate(const upstream_ref& item);
   void Deactivate(const upstream_ref& item);
 
   std::map<std::string, state, std::less<>> states_;
-  /// Who listens at each address, among those in use.
+  /// The upstream in use at each address.
   std::unordered_map<endpoint, upstream_ref, address_hash> active_by_address_;
   std::map<std::string, size_t, std::less<>> service_sizes_;
   std::set<std::string, std::less<>> unreadable_;
   std::set<std::string, std::less<>> retained_;
   std::vector<retained_change> retained_changes_;
-  /// No kept entry was removed after this revision.
+  /// No retained entry was removed after this revision.
   revision_number last_retained_removal_ = 0;
-  /// What upstreams with changes were at the last `TakeChanges`.
+  /// Entries of changed upstreams as of the last `TakeChanges`, by id; null for
+  /// those not in use then.
   std::map<std::string, upstream_ref> changed_;
   size_t in_use_count_ = 0;
   uint64_t version_ = 0;
--- a/include/cuminswitch/Fleet/weights_rollout.h
+++ b/include/cuminswitch/Fleet/weights_rollout.h
@@ -1,5 +1,5 @@
 /// \file
-/// Brings engines to the weights that the operators want.
+/// Updates engines to the weights that the operators set as target.
 #ifndef CUMINSWITCH_FLEET_WEIGHTS_ROLLOUT_H_
 #define CUMINSWITCH_FLEET_WEIGHTS_ROLLOUT_H_
 
@@ -17,70 +17,73 @@
 
 class upstream_directory;
 
-/// What an engine says of itself.
+/// State reported by an engine.
 struct engine_report {
   bool is_busy = false;
-  /// Orders that it has accepted since its start.
+  /// Number of commands accepted since the engine started.
   uint64_t accepted_orders = 0;
-  /// When it started, as its entry tells it; 0 where it does not say.
+  /// Start time as in the engine's store entry; 0 if not given.
   uint64_t started = 0;
   std::vector<weights_version> weights;
 };
 
-/// How an order to an engine ended.
+/// Result of a command to an engine.
 enum class command_result : uint8_t {
   kAccepted,
-  /// It has these weights already.
+  /// The engine already has these weights.
   kAlreadyApplied,
-  /// Another order is in progress, or the engine is not as was expected.
+  /// Another command is in progress, or the engine's state differs from the
+  /// expected one.
   kConflict,
-  /// The engine will not do it.
+  /// The engine rejected the command.
   kRejected,
-  /// No answer: it may be carried out, even seconds later.
+  /// No response: the command may still be executed, even seconds later.
   kUnknown,
 };
 
 std::string_view ToString(command_result value);
 
-/// A question to an engine, or an order where `order` is set.
+/// A state query to an engine, or a command if `command` is set.
 struct rollout_step {
   std::string upstream;
   endpoint address;
   struct weights_command {
     weights_version weights;
-    /// Carry it out only if the engine has accepted so many orders.
+    /// Precondition: number of commands that the engine has accepted.
     uint64_t accepted_orders = 0;
   };
   std::optional<weights_command> command;
 };
 
-/// Decides, for the leader, which engine changes its weights when. Each engine
-/// is asked for its state first; an order then names that state, so that one
-/// that is carried out late cannot undo a newer one. Opens nothing and reads
-/// no clock.
+/// Decides for the leader which engines change their weights, and when. Each
+/// engine is queried for its state first; the command then states the expected
+/// state as a precondition, so that a command that is executed late cannot undo
+/// a newer one. Performs no I/O and reads no clock.
 class weights_rollout {
  public:
-  /// Engines of one service that change at a time: a fifth, and at least
-  /// three, since with fewer the last of a dozen is late. More at once make
-  /// each change take longer, and take more of the service away.
+  /// Limit of concurrent changes in one service: a fifth of its engines, and at
+  /// least three, since with fewer the last of a dozen engines is late. More
+  /// concurrent changes slow each one down and take more of the service's
+  /// capacity away.
   static constexpr size_t kMinConcurrentChanges = 3;
   static constexpr size_t kConcurrentChangesDivisor = 5;
 
-  /// Returns what to do now; only the leader may call it.
+  /// Returns the next steps. Only the leader may call this.
   std::vector<rollout_step> OnTick(time_point now,
                                    std::span<const weights_version> wanted,
                                    const upstream_directory& upstreams);
-  /// Takes in an answer, or its absence, and returns the next step.
+  /// Handles an engine's report, empty if it did not respond, and returns the
+  /// next step, if any.
   std::optional<rollout_step> OnReport(
       time_point now,
       const std::string& upstream,
       const std::optional<engine_report>& report);
   void OnCommandResult(time_point now,
                        const std::string& upstream,
-                       command_result end);
-  /// Upstreams that should get no requests for the moment.
+                       command_result result);
+  /// Returns the upstreams that should get no requests at present.
   std::vector<std::string> ListChanging() const;
-  /// The lead is lost; nothing is under way any more.
+  /// Discards all state after loss of leadership.
   void Clear();
 
  private:
@@ -89,14 +92,14 @@
     stage at = stage::kIdle;
     std::string service;
     endpoint address;
-    /// The start of the engine that all this is about.
+    /// Start time of the engine's run that this state refers to.
     uint64_t started = 0;
     weights_version wanted;
     time_point next_step{};
     time_point since{};
   };
 
-  /// An engine with older weights than are wanted.
+  /// An engine with older weights than the target.
   struct outdated {
     upstream_ref entry;
     weights_version wanted;
@@ -104,16 +107,19 @@
   };
 
   std::optional<outdated> FindOutdated(const upstream_ref& entry) const;
-  /// Lists engines that live, those with the oldest weights first: versions
-  /// may be named faster than all engines change, and the time in which a
-  /// version may still be used runs from the naming of the next.
+  /// Lists outdated engines that are not draining, those with the oldest
+  /// weights first: versions may be published faster than all engines change,
+  /// and the period in which a version may still be used begins with the
+  /// publication of the next.
   std::vector<outdated> ListOutdated(const upstream_directory& upstreams) const;
-  /// Forgets engines that are as wanted, gone, or started anew.
+  /// Drops the state of engines that have the target weights, were removed, or
+  /// have restarted.
   void DropFinished(const upstream_directory& upstreams);
 
   std::map<std::string, engine> engines_;
   std::vector<weights_version> wanted_;
-  /// The directory's version when all engines were last seen to be as wanted.
+  /// The directory's version at which all engines were last seen to have the
+  /// target weights.
   std::optional<uint64_t> settled_version_;
 };
 
--- a/lib/Fleet/address_selection.cc
+++ b/lib/Fleet/address_selection.cc
@@ -9,8 +9,8 @@
 
 namespace cuminswitch {
 
-/// Of an answer's addresses, the part that is of other failure domains. What a
-/// caller sends there crosses between domains.
+/// One in this many addresses of a response is in another failure domain.
+/// Requests to those hosts cross between domains, so they are few.
 static constexpr size_t kOtherDomainsDivisor = 16;
 
 namespace {
@@ -26,7 +26,8 @@
 
 }  // namespace
 
-/// Moves the \p count candidates with the greatest weights to the front.
+/// Moves the \p count candidates with the greatest weights to the front, in
+/// unspecified order.
 static void MoveHighestToFront(std::vector<candidate>& candidates,
                                size_t count) {
   const auto end = candidates.begin() + static_cast<std::ptrdiff_t>(
@@ -38,21 +39,20 @@
 }
 
 std::vector<endpoint> ChooseAddresses(std::span<const daemon_record> serving,
-                                      const address_query& question) {
+                                      const address_query& query) {
   std::vector<candidate> own;
   std::vector<candidate> others;
   for (const daemon_record& host : serving) {
-    const bool is_own = host.failure_domain == question.failure_domain;
+    const bool is_own = host.failure_domain == query.failure_domain;
     (is_own ? own : others)
-        .push_back(
-            {.weight = RendezvousWeight(question.caller, Hash64(host.name)),
-             .host = &host});
+        .push_back({.weight = RendezvousWeight(query.caller, Hash64(host.name)),
+                    .host = &host});
   }
   const size_t reserved =
-      std::min(others.size(), question.max_count / kOtherDomainsDivisor);
-  const size_t own_count = std::min(own.size(), question.max_count - reserved);
+      std::min(others.size(), query.max_count / kOtherDomainsDivisor);
+  const size_t own_count = std::min(own.size(), query.max_count - reserved);
   const size_t others_count =
-      std::min(others.size(), question.max_count - own_count);
+      std::min(others.size(), query.max_count - own_count);
   MoveHighestToFront(own, own_count);
   MoveHighestToFront(others, others_count);
   std::vector<endpoint> addresses;
--- a/lib/Fleet/fleet_publishing.cc
+++ b/lib/Fleet/fleet_publishing.cc
@@ -1,4 +1,4 @@
-// What the fleet task tells the edge and the log.
+// Events that the fleet task sends to the edge, and its log lines.
 #include <utility>
 
 #include "cuminswitch/Fleet/boot_clock.h"
@@ -9,19 +9,21 @@
 
 namespace cuminswitch {
 
-/// Between two messages on the peers to the edge.
+/// Minimum interval between two updates of the peers to the edge.
 static constexpr duration kPeersInterval = peer_table::kHeartbeatInterval / 2;
-/// What a leader said is being changed counts for so long.
-static constexpr duration kChangingTime = std::chrono::milliseconds(900);
+/// A leader's list of upstreams with changing weights is valid for this long.
+static constexpr duration kChangingLifetime = std::chrono::milliseconds(900);
 
-/// A peer with what decides whether it is used.
+/// Describes a peer for the log, with the state that decides whether it is
+/// used.
 static std::string Describe(const daemon_record& item) {
   return item.name + "/" + item.caller_address.ToString() +
          (item.is_ready ? "/ready" : "/not_ready") +
          (item.is_leaving ? "/leaving" : "");
 }
 
-/// An upstream with what decides whether it is used.
+/// Describes an upstream for the log, with the state that decides whether it is
+/// used.
 static std::string Describe(const upstream_entry& item) {
   std::string text = item.id + "@" + item.address.ToString();
   for (const weights_version& has : item.weights) {
@@ -30,8 +32,8 @@
   return text + (item.is_draining ? "/draining" : "");
 }
 
-/// Whether \p a and \p b are the same for everybody but those that ask them
-/// for items.
+/// Whether \p a and \p b are equal apart from what matters only for items
+/// requests.
 static bool IsSamePeer(const daemon_record& a, const daemon_record& b) {
   return a.name == b.name && a.incarnation == b.incarnation &&
          a.is_ready == b.is_ready && a.is_leaving == b.is_leaving &&
@@ -48,18 +50,18 @@
       possibly_active == published_possibly_active_) {
     return;
   }
-  std::vector<daemon_record> living = peer_table_.ListAlive(now);
+  std::vector<daemon_record> alive = peer_table_.ListAlive(now);
   published_peers_at_ = now;
   published_possibly_active_ = possibly_active;
-  RecordPeerChanges(living);
-  follower_policy_.OnPeers(options_.self, living);
+  RecordPeerChanges(alive);
+  follower_policy_.OnPeers(options_.self, alive);
   services_.FindPort<fleet_event>(kEdgeService)
-      .Post(peers_changed{.alive = living,
+      .Post(peers_changed{.alive = alive,
                           .known = peer_table_.CountKnown(),
                           .possibly_active = possibly_active,
                           .convergence_time = peer_table_.ConvergenceTime(),
                           .is_partial = peer_table_.IsPartial()});
-  published_peers_ = std::move(living);
+  published_peers_ = std::move(alive);
 }
 
 void fleet_task::PublishStaleness(time_point now) {
@@ -78,16 +80,16 @@
       .Post(items_staleness{.is_stale = is_stale});
 }
 
-void fleet_task::RecordPeerChanges(std::span<const daemon_record> living) {
+void fleet_task::RecordPeerChanges(std::span<const daemon_record> alive) {
   auto before = published_peers_.begin();
-  auto after = living.begin();
-  while (before != published_peers_.end() || after != living.end()) {
-    const bool is_gone =
-        after == living.end() ||
+  auto after = alive.begin();
+  while (before != published_peers_.end() || after != alive.end()) {
+    const bool is_removed =
+        after == alive.end() ||
         (before != published_peers_.end() && before->name < after->name);
-    const bool is_new = !is_gone && (before == published_peers_.end() ||
-                                     after->name < before->name);
-    if (!is_gone && !is_new && IsSamePeer(*before, *after)) {
+    const bool is_new = !is_removed && (before == published_peers_.end() ||
+                                        after->name < before->name);
+    if (!is_removed && !is_new && IsSamePeer(*before, *after)) {
       ++before;
       ++after;
       continue;
@@ -95,26 +97,25 @@
     if (!is_new) {
       peer_changes_.Remove(Describe(*before++));
     }
-    if (!is_gone) {
+    if (!is_removed) {
       peer_changes_.Add(Describe(*after++));
     }
   }
 }
 
-static void LogSnapshot(event_log& log, const fleet_snapshot& knowledge) {
+static void LogSnapshot(event_log& log, const fleet_snapshot& snapshot) {
   std::string weights;
-  for (const weights_version& item : knowledge.wanted_weights) {
+  for (const weights_version& item : snapshot.wanted_weights) {
     weights += (weights.empty() ? "" : " ") + item.model + "=" +
                std::to_string(item.version);
   }
-  log.Write(
-      log_class::kBelief,
-      log_line("knowledge_changed")
-          .Add("revision", knowledge.revision)
-          .Add("configuration",
-               knowledge.config == nullptr ? 0 : knowledge.config->version)
-          .Add("weights", weights)
-          .Add("leader", knowledge.leader));
+  log.Write(log_class::kBelief,
+            log_line("knowledge_changed")
+                .Add("revision", snapshot.revision)
+                .Add("configuration",
+                     snapshot.config == nullptr ? 0 : snapshot.config->version)
+                .Add("weights", weights)
+                .Add("leader", snapshot.leader));
 }
 
 void fleet_task::LogSuspicions() {
@@ -145,25 +146,25 @@
   if (upstream_changes_.TakeInto(now, upstreams)) {
     parts_.log.Write(log_class::kBelief, upstreams);
   }
-  log_line kept("upstreams_kept");
-  kept.Add("revision", item_watcher_.view().revision())
+  log_line retained("upstreams_kept");
+  retained.Add("revision", item_watcher_.view().revision())
       .Add("awaited_return", logged_recovery_);
-  if (retained_changes_.TakeInto(now, kept)) {
-    parts_.log.Write(log_class::kBelief, kept);
+  if (retained_changes_.TakeInto(now, retained)) {
+    parts_.log.Write(log_class::kBelief, retained);
   }
 }
 
 void fleet_task::LogStoreRecovery(time_point now) {
-  const store_recovery awaited = store_outage_.Recovery(now);
-  if (awaited.event == 0 ||
-      std::exchange(logged_recovery_, awaited.event) == awaited.event) {
+  const store_recovery recovery = store_outage_.Recovery(now);
+  if (recovery.event == 0 ||
+      std::exchange(logged_recovery_, recovery.event) == recovery.event) {
     return;
   }
   parts_.log.Write(log_class::kBelief,
                    log_line("entries_awaited")
-                       .Add("return", awaited.event)
-                       .Add("left_ms", awaited.left)
-                       .Add("up_to", awaited.revision)
+                       .Add("return", recovery.event)
+                       .Add("left_ms", recovery.left)
+                       .Add("up_to", recovery.revision)
                        .Add("revision", item_watcher_.view().revision()));
 }
 
@@ -198,13 +199,14 @@
 }
 
 void fleet_task::Publish(std::shared_ptr<const fleet_snapshot> next) {
-  const bool is_new_plan = snapshot_ == nullptr ||
-                           snapshot_->config != next->config ||
-                           snapshot_->wanted_weights != next->wanted_weights;
-  const bool is_other_order = is_new_plan || snapshot_->leader != next->leader;
+  const bool is_new_config = snapshot_ == nullptr ||
+                             snapshot_->config != next->config ||
+                             snapshot_->wanted_weights != next->wanted_weights;
+  const bool affects_rollout =
+      is_new_config || snapshot_->leader != next->leader;
   const bool has_other_daemons =
       snapshot_ == nullptr || snapshot_->daemons != next->daemons;
-  if (!is_other_order && !has_other_daemons &&
+  if (!affects_rollout && !has_other_daemons &&
       snapshot_->quarantined == next->quarantined) {
     return;
   }
@@ -212,14 +214,14 @@
   if (has_other_daemons) {
     peer_table_.SetListed(next->daemons);
   }
-  if (is_other_order) {
+  if (affects_rollout) {
     LogSnapshot(parts_.log, *next);
   }
   services_.FindPort<fleet_event>(kEdgeService)
       .Post(fleet_snapshot_changed{.snapshot = std::move(next)});
   RunRollout(ReadBootClock());
-  if (is_new_plan) {
-    // Peers that the store turns away learn it from here.
+  if (is_new_config) {
+    // Peers that the store rejects get the configuration from this daemon.
     BroadcastHeartbeat();
   }
 }
@@ -229,7 +231,7 @@
   std::vector<std::string> changing;
   if (election_.IsLeading(now)) {
     changing = rollout_.ListChanging();
-  } else if (now - leader_changing_at_ < kChangingTime) {
+  } else if (now - leader_changing_at_ < kChangingLifetime) {
     changing = leader_changing_;
   }
   if (changing != published_changing_) {
--- a/lib/Fleet/fleet_task.cc
+++ b/lib/Fleet/fleet_task.cc
@@ -14,10 +14,10 @@
 
 static constexpr duration kRegistrationRetry = std::chrono::milliseconds(700);
 static constexpr duration kRolloutInterval = std::chrono::milliseconds(50);
-/// An entry outlives three intervals without a sign of its upstream, of which
-/// one may have passed before the store went away.
+/// An entry outlives three intervals without renewal, one of which may have
+/// passed before the outage began.
 static constexpr int kIntervalsToExpiry = 2;
-/// Claims to the lead are spread over this.
+/// Range over which the daemons' claims of leadership are spread.
 static constexpr uint64_t kClaimSpreadMs = 400;
 
 fleet_task::fleet_task(event_base* base,
@@ -122,62 +122,64 @@
         log_line("peer_frame_malformed").Add("size", bytes.size()));
     return false;
   }
-  if (const auto* beat = std::get_if<heartbeat_frame>(&*frame)) {
-    OnHeartbeatFrame(*beat);
+  if (const auto* heartbeat = std::get_if<heartbeat_frame>(&*frame)) {
+    OnHeartbeatFrame(*heartbeat);
   } else if (const auto* request = std::get_if<items_request_frame>(&*frame)) {
     OnItemsRequest(*request);
-  } else if (const auto* ask = std::get_if<quota_query>(&*frame)) {
-    services_.FindPort<fleet_event>(kEdgeService).Post(*ask);
-  } else if (const auto* verdict = std::get_if<quota_reply>(&*frame)) {
-    services_.FindPort<fleet_event>(kEdgeService).Post(*verdict);
+  } else if (const auto* query = std::get_if<quota_query>(&*frame)) {
+    services_.FindPort<fleet_event>(kEdgeService).Post(*query);
+  } else if (const auto* reply = std::get_if<quota_reply>(&*frame)) {
+    services_.FindPort<fleet_event>(kEdgeService).Post(*reply);
   } else {
     OnItemsReply(std::get<items_reply_frame>(*frame));
   }
   return true;
 }
 
-void fleet_task::OnHeartbeatFrame(const heartbeat_frame& beat) {
+void fleet_task::OnHeartbeatFrame(const heartbeat_frame& heartbeat) {
   const time_point now = ReadBootClock();
-  const bool is_news = peer_table_.OnHeartbeat(now, beat);
-  if (beat.freshness) {
+  const bool has_changed = peer_table_.OnHeartbeat(now, heartbeat);
+  if (heartbeat.freshness) {
     staleness_.OnPeerReport(
-        now, *beat.freshness,
-        beat.sender.revision > item_watcher_.view().revision());
+        now, *heartbeat.freshness,
+        heartbeat.sender.revision > item_watcher_.view().revision());
   }
-  store_outage_.OnPeerReport(now, beat.sender.recovery, beat.freshness);
-  if (!beat.changing.empty()) {
-    leader_changing_ = beat.changing;
+  store_outage_.OnPeerReport(now, heartbeat.sender.recovery,
+                             heartbeat.freshness);
+  if (!heartbeat.changing.empty()) {
+    leader_changing_ = heartbeat.changing;
     leader_changing_at_ = now;
     PublishChanging();
   }
   services_.FindPort<fleet_event>(kEdgeService)
-      .Post(peer_placements{.peer = beat.sender.name,
-                            .mix = beat.mix,
-                            .backlogs = beat.backlogs,
-                            .prefixes = beat.prefixes});
-  if (!beat.limits.empty()) {
+      .Post(peer_placements{.peer = heartbeat.sender.name,
+                            .mix = heartbeat.mix,
+                            .backlogs = heartbeat.backlogs,
+                            .prefixes = heartbeat.prefixes});
+  if (!heartbeat.limits.empty()) {
     services_.FindPort<fleet_event>(kEdgeService)
-        .Post(peer_limits{.peer = beat.sender.name, .limits = beat.limits});
+        .Post(peer_limits{.peer = heartbeat.sender.name,
+                          .limits = heartbeat.limits});
   }
-  if (!beat.quarantine.IsEmpty()) {
+  if (!heartbeat.quarantine.IsEmpty()) {
     if (peer_table_.IsPartial()) {
-      crash_updates_.Relay(now, beat.quarantine);
+      crash_updates_.Relay(now, heartbeat.quarantine);
     }
     services_.FindPort<fleet_event>(kEdgeService)
-        .Post(peer_quarantine{.update = beat.quarantine});
+        .Post(peer_quarantine{.update = heartbeat.quarantine});
   }
-  if (is_news) {
+  if (has_changed) {
     PublishPeers(now);
   }
-  const bool awaits_list = beat.sender.revision == 0;
-  // It has just started, and learns from this who has the items; or it learns
-  // that others take it for gone.
-  const bool wants_answer =
-      (awaits_list && item_watcher_.view().HasRead()) ||
-      peer_table_.MustNotifySuspected(beat.sender.peer_address);
-  if (wants_answer &&
-      peer_table_.TryReserveReply(now, beat.sender.peer_address)) {
-    SendHeartbeat(beat.sender.peer_address);
+  const bool needs_items = heartbeat.sender.revision == 0;
+  // A peer that has just started learns from the reply who has the items; a
+  // suspected peer learns that it is suspected, and can refute it.
+  const bool needs_reply =
+      (needs_items && item_watcher_.view().HasRead()) ||
+      peer_table_.MustNotifySuspected(heartbeat.sender.peer_address);
+  if (needs_reply &&
+      peer_table_.TryReserveReply(now, heartbeat.sender.peer_address)) {
+    SendHeartbeat(heartbeat.sender.peer_address);
   }
   RequestItems(now);
 }
@@ -203,7 +205,7 @@
   items_requests_.OnReply();
   item_watcher_.OnPeerItems(
       reply, {.peer = items_requests_.peer(),
-              .took = ReadBootClock() - items_requests_.asked_at()});
+              .elapsed = ReadBootClock() - items_requests_.sent_at()});
 }
 
 void fleet_task::SendHeartbeat(const endpoint& to) {
@@ -213,24 +215,24 @@
   self.revision = item_watcher_.view().relay_revision();
   self.has_store = item_watcher_.IsFresh(now, kStoreFresh);
   self.recovery = store_outage_.Recovery(now);
-  heartbeat_frame beat{.sender = self,
-                       .recent_peers = peer_table_.SampleAlive(now),
-                       .changing = {},
-                       .backlogs = own_backlogs_,
-                       .prefixes = placement_log_.TakeFor(to),
-                       .mix = own_mix_,
-                       .limits = own_limits_.limits,
-                       .quarantine = crash_updates_.TakeFor(now, to),
-                       .is_watched = peer_table_.IsWatcher(to),
-                       .members = peer_table_.TakeMemberUpdates(now, to),
-                       .freshness = staleness_.MostRecent(now)};
-  for (limit_update& item : beat.limits) {
+  heartbeat_frame heartbeat{.sender = self,
+                            .recent_peers = peer_table_.SampleAlive(now),
+                            .changing = {},
+                            .backlogs = own_backlogs_,
+                            .prefixes = placement_log_.TakeFor(to),
+                            .mix = own_mix_,
+                            .limits = own_limits_.limits,
+                            .quarantine = crash_updates_.TakeFor(now, to),
+                            .is_watched = peer_table_.IsWatcher(to),
+                            .members = peer_table_.TakeMemberUpdates(now, to),
+                            .freshness = staleness_.MostRecent(now)};
+  for (limit_update& item : heartbeat.limits) {
     item.age += now - own_limits_.at;
   }
   if (election_.IsLeading(now)) {
-    beat.changing = rollout_.ListChanging();
+    heartbeat.changing = rollout_.ListChanging();
   }
-  transport_->Send(to, EncodePeerFrame(beat));
+  transport_->Send(to, EncodePeerFrame(heartbeat));
 }
 
 void fleet_task::BroadcastHeartbeat() {
@@ -262,12 +264,12 @@
 }
 
 void fleet_task::RequestItems(time_point now) {
-  // While the first pages come from the store a peer's packed list is there
-  // sooner: in a fleet that starts, all read at the same time.
-  const bool is_told_by_store =
+  // During the initial read, a peer's compressed list arrives before all pages
+  // of the store do: in a starting fleet all daemons read at the same time.
+  const bool has_current_store =
       item_watcher_.view().HasRead() && item_watcher_.IsFollowing() &&
       !item_watcher_.HasFailed() && item_watcher_.IsFresh(now, kStoreFresh);
-  if (!items_requests_.MaySend(now) || is_told_by_store) {
+  if (!items_requests_.MaySend(now) || has_current_store) {
     return;
   }
   const revision_number revision = item_watcher_.view().revision();
@@ -275,11 +277,11 @@
     parts_.log.Write(log_class::kBelief,
                      log_line("question_unanswered")
                          .Add("peer", items_requests_.peer())
-                         .Add("after_ms", now - items_requests_.asked_at()));
+                         .Add("after_ms", now - items_requests_.sent_at()));
     items_requests_.OnReply();
   }
-  if (const daemon_record* ahead =
-          peer_table_.FindAhead(now, revision, items_requests_.turn())) {
+  if (const daemon_record* ahead = peer_table_.FindAhead(
+          now, revision, items_requests_.request_count())) {
     items_requests_.OnSent(now, ahead->name);
     transport_->Send(
         ahead->peer_address,
@@ -316,10 +318,10 @@
   decoded_items decoded = parts_.decoder.Decode(item_watcher_.view(), keys);
   item_watcher_.MarkForRelay(decoded.changed_keys);
   const time_point now = ReadBootClock();
-  for (const upstream_entry_update& news : decoded.upstreams) {
-    upstreams_.Apply(now, news, store_outage_.Window());
+  for (const upstream_entry_update& update : decoded.upstreams) {
+    upstreams_.Apply(now, update, store_outage_.Window());
   }
-  // Before a first configuration, with which the daemon begins to serve.
+  // Upstreams first: the first configuration makes the daemon begin to serve.
   PublishUpstreams();
   if (decoded.snapshot != nullptr) {
     Publish(std::move(decoded.snapshot));
@@ -342,7 +344,7 @@
   if (snapshot_ == nullptr || !item_watcher_.view().HasRead()) {
     return;
   }
-  // Those that follow the store know first that there is no leader.
+  // Followers of the store are the first to see that there is no leader.
   if (item_watcher_.IsFollowing() || election_.IsLeading(now)) {
     election_.OnTick(now, snapshot_->leader);
   }
@@ -362,7 +364,8 @@
       rollout_.OnTick(now, snapshot_->wanted_weights, upstreams_);
   PublishChanging();
   if (!steps.empty()) {
-    // Before the orders, so that no peer sends a request into a change.
+    // Before the commands, so that no peer sends a request to an engine that is
+    // changing its weights.
     BroadcastHeartbeat();
   }
   for (const rollout_step& step : steps) {
@@ -381,8 +384,8 @@
         });
     return;
   }
-  // Between the decision and here the host may have been suspended; an order
-  // that leaves after the lease has ended meets those of the next leader.
+  // The host may have been suspended since the decision. A command sent after
+  // the lease has expired would conflict with those of the next leader.
   if (!election_.MaySendCommand(ReadBootClock())) {
     rollout_.OnCommandResult(ReadBootClock(), step.upstream,
                              command_result::kConflict);
@@ -406,9 +409,10 @@
 
 void fleet_task::OnEngineReport(const rollout_step& step,
                                 const std::optional<engine_report>& report) {
-  const auto order = rollout_.OnReport(ReadBootClock(), step.upstream, report);
-  if (order) {
-    Perform(*order);
+  const auto command =
+      rollout_.OnReport(ReadBootClock(), step.upstream, report);
+  if (command) {
+    Perform(*command);
   }
 }
 
--- a/lib/Fleet/item_list_cache.cc
+++ b/lib/Fleet/item_list_cache.cc
@@ -5,7 +5,7 @@
 
 namespace cuminswitch {
 
-/// Within which a list is handed out again.
+/// Time for which an encoded list is reused.
 static constexpr duration kCacheLifetime = std::chrono::seconds(1);
 
 const std::string& item_list_cache::Get(time_point now,
--- a/lib/Fleet/item_view.cc
+++ b/lib/Fleet/item_view.cc
@@ -5,11 +5,12 @@
 
 namespace cuminswitch {
 
-/// Memories kept of items that went. A release replaces a few dozen upstreams;
-/// a peer that is further behind gets everything instead.
+/// Maximum number of records of removed items. A release replaces a few dozen
+/// upstreams; a peer that is further behind gets the complete list instead.
 static constexpr size_t kMaxRemovedItems = 512;
-/// News that are found without a walk over all items. A thousand upstreams that
-/// crash and return make twice as many.
+/// Maximum number of relayed changes that are found without visiting all items.
+/// A crash and restart of a thousand upstreams makes twice as many changes as
+/// upstreams.
 static constexpr size_t kMaxRecentChanges = 4096;
 
 static item_change MakeChange(const std::string& key,
@@ -49,7 +50,7 @@
     }
   }
   if (!HasRead()) {
-    // What went before the first list is not in it.
+    // The first list holds no record of earlier removals.
     pruned_up_to_ = std::max(pruned_up_to_, at);
   }
   revision_ = std::max(revision_, at);
@@ -95,15 +96,16 @@
   if (removed_count_ <= kMaxRemovedItems) {
     return;
   }
-  std::vector<revision_number> gone;
+  std::vector<revision_number> removed;
   for (const auto& [key, known] : entries_) {
     if (!known.value) {
-      gone.push_back(known.revision);
+      removed.push_back(known.revision);
     }
   }
-  const auto middle = gone.begin() + static_cast<std::ptrdiff_t>(
-                                         gone.size() - kMaxRemovedItems / 2);
-  std::nth_element(gone.begin(), middle, gone.end());
+  const auto middle =
+      removed.begin() +
+      static_cast<std::ptrdiff_t>(removed.size() - kMaxRemovedItems / 2);
+  std::nth_element(removed.begin(), middle, removed.end());
   pruned_up_to_ = std::max(pruned_up_to_, *middle);
   std::erase_if(entries_, [&](const auto& item) {
     const auto& [key, known] = item;
@@ -136,11 +138,11 @@
     }
     return changes;
   }
-  for (auto news = recent_changes_.lower_bound({revision + 1, {}});
-       news != recent_changes_.end(); ++news) {
-    const auto& [told, key] = *news;
+  for (auto change = recent_changes_.lower_bound({revision + 1, {}});
+       change != recent_changes_.end(); ++change) {
+    const auto& [marked_at, key] = *change;
     const auto found = entries_.find(key);
-    if (found != entries_.end() && found->second.relay_revision == told) {
+    if (found != entries_.end() && found->second.relay_revision == marked_at) {
       changes.push_back(MakeChange(key, found->second));
     }
   }
--- a/lib/Fleet/item_watcher.cc
+++ b/lib/Fleet/item_watcher.cc
@@ -9,27 +9,29 @@
 
 namespace cuminswitch {
 
-/// A watch ends after this long without a change. A connection that has gone
-/// silent is noticed a little later, while beliefs may still be trusted.
+/// Maximum duration of a watch without a change. A connection that stopped
+/// responding is detected shortly after, while the items do not yet count as
+/// stale.
 static constexpr std::chrono::milliseconds kWatchTimeout{1000};
-/// While the store is lost a watch only asks whether it is back. One that is
-/// not answered holds up the next for as long as it may take.
+/// Duration of a watch while the store is unavailable, when it only probes for
+/// recovery. A probe without reply delays the next one until its time-out.
 static constexpr std::chrono::milliseconds kProbeTimeout{100};
-/// Upstreams renew their items all the time, so a watch returns at once; the
-/// pause bounds the calls. What matters is late by this much at most.
+/// Pause after a watch that returned changes. Upstreams renew their items
+/// continually, so a watch returns immediately, and the pause limits the number
+/// of calls. It delays changes by at most this long.
 static constexpr duration kWatchPause = std::chrono::milliseconds(100);
 static constexpr duration kMinRetryDelay = std::chrono::milliseconds(100);
-/// The store's rates are shared by all daemons, also by those that come back
-/// after a loss of power.
+/// The store's rate limits are shared by all daemons, including those that
+/// restart after a power failure.
 static constexpr duration kMaxRetryDelay = std::chrono::milliseconds(800);
 
 item_watcher::item_watcher(event_base* base,
                            item_store& store,
                            event_log& log,
-                           handlers calls)
+                           handlers callbacks)
     : store_(store),
       log_(log),
-      handlers_(std::move(calls)),
+      handlers_(std::move(callbacks)),
       timer_(base, [this] { Next(); }) {}
 
 item_watcher::~item_watcher() {
@@ -65,41 +67,41 @@
 }
 
 void item_watcher::ReadAll() {
-  store_.ReadAll([this, alive = alive_](const store_items& answer) {
+  store_.ReadAll([this, alive = alive_](const store_items& reply) {
     if (*alive) {
-      OnItems(true, answer);
+      OnItems(true, reply);
     }
   });
 }
 
 void item_watcher::Watch() {
   store_.Watch(view_.revision(), has_failed_ ? kProbeTimeout : kWatchTimeout,
-               [this, alive = alive_](const store_items& answer) {
+               [this, alive = alive_](const store_items& reply) {
                  if (*alive) {
-                   OnItems(false, answer);
+                   OnItems(false, reply);
                  }
                });
 }
 
-void item_watcher::OnItems(bool is_complete, const store_items& answer) {
-  if (answer.status == store_status::kHistoryGone) {
+void item_watcher::OnItems(bool is_complete, const store_items& reply) {
+  if (reply.status == store_status::kHistoryGone) {
     must_read_all_ = true;
     log_.Write(log_class::kBelief,
                log_line("store_history_gone").Add("after", view_.revision()));
     timer_.Start(duration(0));
     return;
   }
-  if (answer.status != store_status::kDone) {
-    OnFailure(answer.status);
+  if (reply.status != store_status::kDone) {
+    OnFailure(reply.status);
     return;
   }
   OnSuccess();
-  handlers_.on_reply(last_reply_at_, answer.revision);
+  handlers_.on_reply(last_reply_at_, reply.revision);
   must_read_all_ = false;
   const std::vector<std::string> changed =
-      is_complete ? view_.ApplyAll(answer.items, answer.revision)
-                  : view_.ApplyChanges(answer.items, answer.revision);
-  timer_.Start(answer.items.empty() ? duration(0) : kWatchPause);
+      is_complete ? view_.ApplyAll(reply.items, reply.revision)
+                  : view_.ApplyChanges(reply.items, reply.revision);
+  timer_.Start(reply.items.empty() ? duration(0) : kWatchPause);
   if (!changed.empty()) {
     handlers_.on_change(changed);
   }
@@ -120,30 +122,31 @@
   }
 }
 
-void item_watcher::OnFailure(store_status end) {
+void item_watcher::OnFailure(store_status status) {
   retry_delay_ = std::clamp(retry_delay_ * 2, kMinRetryDelay, kMaxRetryDelay);
   last_failure_at_ = ReadBootClock();
   if (!std::exchange(has_failed_, true)) {
     log_.Write(log_class::kLifecycle, log_line("dependency_lost")
                                           .Add("dependency", "store")
-                                          .Add("reason", ToString(end))
+                                          .Add("reason", ToString(status))
                                           .Add("revision", view_.revision()));
   }
-  // What the call has taken counts: a store that is silent is asked as often as
-  // one that refuses.
+  // The delay includes the duration of the call, so that an unresponsive store
+  // is called as often as one that rejects calls.
   timer_.Start(
       std::max(duration(0), retry_delay_ - (last_failure_at_ - called_at_)));
 }
 
 void item_watcher::OnPeerItems(const items_reply_frame& reply,
-                               const peer_request& asked) {
+                               const peer_request& request) {
   const revision_number before = view_.revision();
   const std::vector<std::string> changed =
       reply.is_complete ? view_.ApplyAll(reply.items, reply.revision)
                         : view_.ApplyChanges(reply.items, reply.revision);
   if (reply.is_complete && must_read_all_) {
-    // All is known as of the list's revision; changes go on from there. The
-    // rest of the pages would only take the store's link from others.
+    // The list is complete as of its revision, and the watch continues from
+    // there. Reading the remaining pages would only use bandwidth of the
+    // store's link that other daemons need.
     must_read_all_ = false;
     store_.StopReading();
     timer_.Start(duration(0));
@@ -152,8 +155,8 @@
     return;
   }
   log_.Write(log_class::kBelief, log_line("items_from_peer")
-                                     .Add("peer", asked.peer)
-                                     .Add("took_ms", asked.took)
+                                     .Add("peer", request.peer)
+                                     .Add("took_ms", request.elapsed)
                                      .Add("before", before)
                                      .Add("revision", reply.revision)
                                      .Add("items", reply.items.size()));
--- a/lib/Fleet/items_request_tracker.cc
+++ b/lib/Fleet/items_request_tracker.cc
@@ -5,8 +5,8 @@
 namespace cuminswitch {
 
 static constexpr duration kRequestInterval = std::chrono::milliseconds(200);
-/// An answer that is not there by then is taken for lost. A megabyte takes 0.8
-/// s on the slowest links that hosts have (10 Mbit/s).
+/// Time without a reply after which a request counts as lost. A reply of one
+/// megabyte takes 0.8 s on the slowest links of hosts (10 Mbit/s).
 static constexpr duration kReplyTimeout = std::chrono::seconds(1);
 
 bool items_request_tracker::MaySend(time_point now) const {
--- a/lib/Fleet/leader_election.cc
+++ b/lib/Fleet/leader_election.cc
@@ -4,10 +4,11 @@
 
 namespace cuminswitch {
 
-/// The lease is renewed three times in its life, so that one lost answer does
-/// not end it.
+/// The lease is renewed three times within its lifetime, so that one lost reply
+/// does not end it.
 static constexpr duration kRenewInterval = std::chrono::milliseconds(450);
-/// An order must have arrived before the lease ends at the store.
+/// A command must arrive at its engine before the lease expires at the store,
+/// so the leader stops sending this long before.
 static constexpr duration kSafetyMargin = std::chrono::milliseconds(250);
 static constexpr duration kRetryInterval = std::chrono::milliseconds(400);
 
@@ -46,39 +47,39 @@
 void leader_election::Claim(time_point now) {
   is_calling_ = true;
   store_.GrantLease(options_.lease_time,
-                    [this, alive = alive_, now](const store_lease& answer) {
+                    [this, alive = alive_, now](const store_lease& reply) {
                       if (*alive) {
-                        OnLease(now, answer);
+                        OnLease(now, reply);
                       }
                     });
 }
 
-void leader_election::OnLease(time_point asked_at, const store_lease& answer) {
-  if (answer.status != store_status::kDone) {
+void leader_election::OnLease(time_point called_at, const store_lease& reply) {
+  if (reply.status != store_status::kDone) {
     is_calling_ = false;
     next_call_ = now_ + kRetryInterval;
     return;
   }
-  lease_ = answer.lease;
-  const duration life = answer.time_to_live - kSafetyMargin;
-  const auto done = [this, alive = alive_, asked_at,
-                     life](const store_write& written) {
+  lease_ = reply.lease;
+  const duration lifetime = reply.time_to_live - kSafetyMargin;
+  const auto done = [this, alive = alive_, called_at,
+                     lifetime](const store_write& written) {
     if (!*alive) {
       return;
     }
     is_calling_ = false;
     next_call_ = now_ + kRetryInterval;
     if (written.status != store_status::kDone) {
-      // A write without answer may have been done; then the key goes with the
-      // lease, which nobody renews.
+      // A write without reply may have been executed. Then the key expires with
+      // the lease, which is no longer renewed.
       DropLeadership();
       return;
     }
     fence_ = written.revision;
-    valid_until_ = asked_at + life;
-    next_call_ = asked_at + kRenewInterval;
-    // The predecessor sent its last order before its lease ended, which was
-    // before this key could be written.
+    valid_until_ = called_at + lifetime;
+    next_call_ = called_at + kRenewInterval;
+    // The predecessor sent its last command before its lease expired, and this
+    // key could only be written after that.
     commands_allowed_from_ = now_ + options_.handover_gap;
   };
   store_.Write({.key = options_.key,
@@ -91,14 +92,14 @@
 void leader_election::Renew(time_point now) {
   is_calling_ = true;
   next_call_ = now + kRenewInterval;
-  const auto done = [this, alive = alive_, now](const store_lease& answer) {
+  const auto done = [this, alive = alive_, now](const store_lease& reply) {
     if (!*alive) {
       return;
     }
     is_calling_ = false;
-    if (answer.status == store_status::kDone) {
-      valid_until_ = now + answer.time_to_live - kSafetyMargin;
-    } else if (answer.status == store_status::kNoLease) {
+    if (reply.status == store_status::kDone) {
+      valid_until_ = now + reply.time_to_live - kSafetyMargin;
+    } else if (reply.status == store_status::kNoLease) {
       DropLeadership();
     }
   };
--- a/lib/Fleet/store_constants.h
+++ b/lib/Fleet/store_constants.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the parts of this package share about the store.
+/// Store constants shared within this package.
 #ifndef CUMINSWITCH_LIB_FLEET_STORE_CONSTANTS_H_
 #define CUMINSWITCH_LIB_FLEET_STORE_CONSTANTS_H_
 
@@ -9,8 +9,9 @@
 
 namespace cuminswitch {
 
-/// A daemon whose store answered within this time learns news from the store;
-/// otherwise it asks a peer that knows more.
+/// A daemon that received a reply of the store within this time gets changes
+/// from the store; otherwise it requests them from a peer with a newer
+/// revision. Items that were last known to be complete longer ago are stale.
 inline constexpr duration kStoreFresh = std::chrono::milliseconds(1400);
 
 }  // namespace cuminswitch
--- a/lib/Fleet/store_follower_policy.cc
+++ b/lib/Fleet/store_follower_policy.cc
@@ -11,58 +11,61 @@
 
 namespace cuminswitch {
 
-/// Calls a second of all daemons together that look for a store which answers
-/// nobody.
+/// Target rate of take-overs per second, in all daemons together, while the
+/// store replies to none.
 static constexpr int64_t kTakeoversPerSecond = 24;
 static constexpr duration kMinTakeoverDelay = std::chrono::milliseconds(800);
-/// The store may come back for one daemon alone.
+/// Upper bound, since the store may become reachable for one daemon only.
 static constexpr duration kMaxTakeoverDelay = std::chrono::seconds(3);
 
 void store_follower_policy::OnPeers(const daemon_record& self,
-                                    std::span<const daemon_record> living) {
-  is_selected_ = FollowsStore(self, living);
+                                    std::span<const daemon_record> alive) {
+  is_selected_ = FollowsStore(self, alive);
 }
 
 bool store_follower_policy::MayStepDown(time_point now,
-                                        const view& seen) const {
-  // An answer from before the items were stale says nothing of now.
+                                        const view& inputs) const {
+  // A reply from before this daemon took over does not show that the store is
+  // reachable now.
   const duration span = std::min<duration>(kStoreFresh, now - taken_over_at_);
-  std::vector<daemon_record> answered;
-  for (const daemon_record& item : seen.alive) {
-    if (seen.staleness.HasReachedStore(now, Hash64(item.name), span)) {
-      answered.push_back(item);
+  std::vector<daemon_record> reaching_store;
+  for (const daemon_record& item : inputs.alive) {
+    if (inputs.staleness.HasReachedStore(now, Hash64(item.name), span)) {
+      reaching_store.push_back(item);
     }
   }
-  return !RanksFirst(seen.self, answered,
-                     FollowersPerDomain(seen.self, seen.alive));
+  return !RanksFirst(inputs.self, reaching_store,
+                     FollowersPerDomain(inputs.self, inputs.alive));
 }
 
-duration store_follower_policy::NextTakeoverDelay(const view& seen) {
-  const duration even = std::clamp<duration>(
-      std::chrono::seconds(seen.known) / kTakeoversPerSecond, kMinTakeoverDelay,
-      kMaxTakeoverDelay);
-  // Between three and five quarters, so that daemons do not try in step.
+duration store_follower_policy::NextTakeoverDelay(const view& inputs) {
+  const duration mean = std::clamp<duration>(
+      std::chrono::seconds(inputs.known) / kTakeoversPerSecond,
+      kMinTakeoverDelay, kMaxTakeoverDelay);
+  // Between 3/4 and 5/4 of the mean, so that daemons do not take over in
+  // lockstep.
   constexpr uint64_t kSteps = 64;
   const auto step = static_cast<int64_t>(
-      Hash64(seen.self.name, ++takeover_attempts_) % kSteps);
-  return even * 3 / 4 + even * step / (2 * static_cast<int64_t>(kSteps));
+      Hash64(inputs.self.name, ++takeover_attempts_) % kSteps);
+  return mean * 3 / 4 + mean * step / (2 * static_cast<int64_t>(kSteps));
 }
 
-bool store_follower_policy::ShouldFollow(time_point now, const view& seen) {
+bool store_follower_policy::ShouldFollow(time_point now, const view& inputs) {
   if (is_selected_) {
     has_taken_over_ = false;
     return true;
   }
   if (has_taken_over_) {
-    if (seen.last_failure_at >= taken_over_at_) {
+    if (inputs.last_failure_at >= taken_over_at_) {
       has_taken_over_ = false;
-      next_takeover_ = now + NextTakeoverDelay(seen);
-    } else if (seen.last_reply_at >= taken_over_at_ && MayStepDown(now, seen)) {
+      next_takeover_ = now + NextTakeoverDelay(inputs);
+    } else if (inputs.last_reply_at >= taken_over_at_ &&
+               MayStepDown(now, inputs)) {
       has_taken_over_ = false;
     }
     return has_taken_over_;
   }
-  if (seen.staleness.Staleness(now) <= kStoreFresh || now < next_takeover_) {
+  if (inputs.staleness.Staleness(now) <= kStoreFresh || now < next_takeover_) {
     return false;
   }
   has_taken_over_ = true;
--- a/lib/Fleet/store_outage_tracker.cc
+++ b/lib/Fleet/store_outage_tracker.cc
@@ -6,26 +6,27 @@
 
 namespace cuminswitch {
 
-/// Entries of upstreams that live are back this soon after the store's return.
+/// Running upstreams have registered again this long after the store's
+/// recovery.
 static constexpr duration kRecoveryTime = std::chrono::seconds(2);
 
 bool store_outage_tracker::IsStoreUnavailable(time_point now) const {
   return last_reply_at_ && now - *last_reply_at_ >= options_.min_outage;
 }
 
-void store_outage_tracker::OnRecovery(const observed_recovery& seen) {
-  const duration apart = std::chrono::abs(seen.at - recovery_.at);
+void store_outage_tracker::OnRecovery(const observed_recovery& observed) {
+  const duration apart = std::chrono::abs(observed.at - recovery_.at);
   if (recovery_.event == 0 || apart >= options_.min_outage) {
-    recovery_ = seen;
+    recovery_ = observed;
     return;
   }
-  // Another daemon saw the same return. Delays make what is told later, never
-  // earlier.
-  if (seen.at < recovery_.at) {
-    recovery_.event = seen.event;
-    recovery_.at = seen.at;
+  // Another daemon observed the same recovery. Message delays make reported
+  // times later, never earlier.
+  if (observed.at < recovery_.at) {
+    recovery_.event = observed.event;
+    recovery_.at = observed.at;
   }
-  recovery_.revision = std::min(recovery_.revision, seen.revision);
+  recovery_.revision = std::min(recovery_.revision, observed.revision);
 }
 
 void store_outage_tracker::OnStoreReply(time_point at,
@@ -41,22 +42,24 @@
 
 void store_outage_tracker::OnPeerReport(
     time_point now,
-    const store_recovery& told,
-    const std::optional<freshness_record>& evidence) {
-  // Daemons of an earlier release name no revision, and await more than can
-  // have lapsed.
-  if (told.event != 0 && told.revision != 0) {
+    const store_recovery& reported,
+    const std::optional<freshness_record>& freshness) {
+  // Daemons of an earlier release report no revision. Their window would cover
+  // entries that cannot have expired.
+  if (reported.event != 0 && reported.revision != 0) {
     const time_point at =
-        now + std::clamp(told.left, duration(0), kRecoveryTime) - kRecoveryTime;
+        now + std::clamp(reported.left, duration(0), kRecoveryTime) -
+        kRecoveryTime;
     const bool is_known =
         recovery_.event != 0 &&
         std::chrono::abs(at - recovery_.at) < options_.min_outage;
     if (is_known || !last_reply_at_ || IsStoreUnavailable(at)) {
-      OnRecovery({.event = told.event, .at = at, .revision = told.revision});
+      OnRecovery(
+          {.event = reported.event, .at = at, .revision = reported.revision});
     }
   }
-  if (evidence && evidence->daemon_hash != 0) {
-    const time_point at = now - evidence->age;
+  if (freshness && freshness->daemon_hash != 0) {
+    const time_point at = now - freshness->age;
     last_reply_at_ = std::max(last_reply_at_.value_or(at), at);
   }
 }
--- a/lib/Fleet/upstream_directory.cc
+++ b/lib/Fleet/upstream_directory.cc
@@ -9,8 +9,9 @@
 
 namespace cuminswitch {
 
-/// Whether \p a began after \p b. Their own times come first: an entry's
-/// revision also grows when its upstream only says that it leaves.
+/// Whether \p a started after \p b. Compares their start times first, since an
+/// entry's revision also increases when its upstream only reports that it is
+/// draining.
 static bool StartedLater(const upstream_entry& a, const upstream_entry& b) {
   if (a.started != 0 && b.started != 0 && a.started != b.started) {
     return a.started > b.started;
@@ -18,7 +19,8 @@
   return std::tie(a.revision, a.id) > std::tie(b.revision, b.id);
 }
 
-/// Whether an upstream that was removed at \p revision may live.
+/// Whether an entry that was removed at \p revision may have expired during a
+/// store outage, so that its upstream may still be running.
 static bool MayHaveExpired(time_point now,
                            revision_number revision,
                            const recovery_window& window) {
@@ -31,29 +33,29 @@
 }
 
 void upstream_directory::Apply(time_point now,
-                               const upstream_entry_update& news,
+                               const upstream_entry_update& update,
                                const recovery_window& window) {
-  unreadable_.erase(news.id);
-  if (news.entry != nullptr) {
-    Put(news.entry);
+  unreadable_.erase(update.id);
+  if (update.entry != nullptr) {
+    Put(update.entry);
     return;
   }
-  const auto found = states_.find(news.id);
-  if (news.is_unreadable) {
-    // It did not lapse: it says that the upstream is not to be used.
-    unreadable_.insert(news.id);
+  const auto found = states_.find(update.id);
+  if (update.is_unreadable) {
+    // The entry exists, so it has not expired; the upstream must not be used.
+    unreadable_.insert(update.id);
   } else if (found != states_.end() && !found->second.is_replaced &&
              !found->second.entry->is_draining &&
-             MayHaveExpired(now, news.revision, window)) {
-    found->second.removed_at = news.revision;
-    last_retained_removal_ = std::max(last_retained_removal_, news.revision);
-    if (retained_.insert(news.id).second) {
+             MayHaveExpired(now, update.revision, window)) {
+    found->second.removed_at = update.revision;
+    last_retained_removal_ = std::max(last_retained_removal_, update.revision);
+    if (retained_.insert(update.id).second) {
       retained_changes_.push_back(
-          {.id = news.id, .revision = news.revision, .is_retained = true});
+          {.id = update.id, .revision = update.revision, .is_retained = true});
     }
     return;
   }
-  Remove(news.id);
+  Remove(update.id);
 }
 
 void upstream_directory::Expire(time_point now, const recovery_window& window) {
@@ -61,13 +63,13 @@
     return;
   }
   last_retained_removal_ = window.last_removal;
-  std::vector<std::string> over;
+  std::vector<std::string> expired;
   for (const std::string& id : retained_) {
     if (!MayHaveExpired(now, states_.find(id)->second.removed_at, window)) {
-      over.push_back(id);
+      expired.push_back(id);
     }
   }
-  for (const std::string& id : over) {
+  for (const std::string& id : expired) {
     Remove(id);
   }
 }
--- a/lib/Fleet/weights_rollout.cc
+++ b/lib/Fleet/weights_rollout.cc
@@ -6,11 +6,11 @@
 
 namespace cuminswitch {
 
-/// A change takes about a third of a second; an engine that does not show it
-/// after this long is asked again.
+/// A change of weights takes about a third of a second; an engine that has not
+/// reported it after this long is queried again.
 static constexpr duration kChangeTimeout = std::chrono::milliseconds(900);
 static constexpr duration kBusyRetryDelay = std::chrono::milliseconds(150);
-/// After an order without answer: it may still be on its way.
+/// Delay after a command without response, which may still be in transit.
 static constexpr duration kUnknownResultDelay = std::chrono::milliseconds(500);
 static constexpr duration kRejectedRetryDelay = std::chrono::seconds(2);
 
@@ -62,8 +62,8 @@
 void weights_rollout::DropFinished(const upstream_directory& upstreams) {
   std::erase_if(engines_, [&](const auto& item) {
     const upstream_ref entry = upstreams.Find(item.first);
-    // Of an order to an earlier start nothing will come: the start that is
-    // there now counts its orders anew, and has the weights of before.
+    // A command to an earlier run has no effect: the engine restarted with its
+    // previous weights, and counts accepted commands from 0.
     return entry == nullptr || entry->started != item.second.started ||
            !FindOutdated(entry);
   });
@@ -133,8 +133,8 @@
   }
   engine& item = found->second;
   if (report && report->is_busy) {
-    // An order is in progress: the engine lets its runs finish, which takes
-    // seconds under load, and refuses all others meanwhile.
+    // A command is in progress: the engine completes its running requests,
+    // which takes seconds under load, and rejects all others meanwhile.
     item.at = stage::kChanging;
     item.since = now - kChangeTimeout + kBusyRetryDelay;
     return std::nullopt;
@@ -151,7 +151,7 @@
                            has.version >= item.wanted.version;
                   });
   if (has_wanted) {
-    // The store's list will say so soon.
+    // The engine's store entry will show the new weights soon.
     item.at = stage::kIdle;
     item.next_step = now + kChangeTimeout;
     return std::nullopt;
@@ -164,9 +164,10 @@
           .weights = item.wanted, .accepted_orders = report->accepted_orders}};
 }
 
-/// How long an engine is left alone after an order that it did not accept.
-static duration RetryDelayAfter(command_result end) {
-  switch (end) {
+/// Time until the next query to an engine after a command that it did not
+/// accept.
+static duration RetryDelayAfter(command_result result) {
+  switch (result) {
     case command_result::kAccepted:
     case command_result::kAlreadyApplied:
       return kChangeTimeout;
@@ -182,19 +183,19 @@
 
 void weights_rollout::OnCommandResult(time_point now,
                                       const std::string& upstream,
-                                      command_result end) {
+                                      command_result result) {
   const auto found = engines_.find(upstream);
   if (found == engines_.end() || found->second.at != stage::kCommanded) {
     return;
   }
   engine& item = found->second;
   item.since = now;
-  if (end == command_result::kAccepted) {
+  if (result == command_result::kAccepted) {
     item.at = stage::kChanging;
     return;
   }
   item.at = stage::kIdle;
-  item.next_step = now + RetryDelayAfter(end);
+  item.next_step = now + RetryDelayAfter(result);
 }
 
 std::vector<std::string> weights_rollout::ListChanging() const {
