--- a/include/cuminswitch/Fleet/fleet_task.h
+++ b/include/cuminswitch/Fleet/fleet_task.h
@@ -136,6 +136,8 @@
   /// sends each peer a heartbeat within 1.5 s in a fleet where it rotates
   /// through all peers, and each gossip partner within 2 s in a larger one.
   peer_update_log<placed_prefix, 256> placement_log_;
+  /// Upstreams whose weights are changing, as last reported by the leader, and
+  /// as last published to the edge.
   std::vector<std::string> leader_changing_;
   std::vector<std::string> published_changing_;
   time_point leader_changing_at_{};
--- a/include/cuminswitch/Fleet/routing_config.h
+++ b/include/cuminswitch/Fleet/routing_config.h
@@ -39,7 +39,7 @@
   /// Begins and ends with a slash.
   std::string path_prefix;
   request_kind kind = request_kind::kOnce;
-  /// Maximum time until a request gets its response.
+  /// Upper bound on the time that a request may wait for its response.
   std::chrono::milliseconds timeout{0};
   /// Target latency; a response within it has full value to the caller.
   std::chrono::milliseconds target_latency{0};
--- a/unittests/Fleet/follower_selection_test.cc
+++ b/unittests/Fleet/follower_selection_test.cc
@@ -1,4 +1,4 @@
-// Which daemons follow the store.
+// Selection of the daemons that follow the store.
 #include "cuminswitch/Fleet/follower_selection.h"
 
 #include <gtest/gtest.h>
@@ -37,25 +37,25 @@
   return names;
 }
 
-TEST(follower_selection_test, AllFollowInASmallFleet) {
+TEST(follower_selection_test, SelectsAllInSmallFleet) {
   EXPECT_EQ(Followers(MakeFleet(12)).size(), 12U);
 }
 
-TEST(follower_selection_test, TwoOfEachDomainFollowInALargeFleet) {
+TEST(follower_selection_test, SelectsTwoPerDomainInLargeFleet) {
   EXPECT_EQ(Followers(MakeFleet(40)).size(), 4U);
 }
 
-// Symptom: the price of calls to the store grows with the domains of a fleet.
-// Cause: two followers of each domain, where those of five others are at hand.
-TEST(follower_selection_test, OneOfEachFollowsWhereThereAreManyDomains) {
+// Guards against store calls that grow with the number of failure domains: with
+// many domains, one follower per domain suffices, since followers in the other
+// domains can supply the items.
+TEST(follower_selection_test, SelectsOnePerDomainWithManyDomains) {
   EXPECT_EQ(Followers(MakeFleet(95, 6)).size(), 6U);
   EXPECT_EQ(Followers(MakeFleet(95, 5)).size(), 10U);
 }
 
-// Symptom: callers of one host wait for seconds after each change of the
-// configuration.
-// Cause: a host with a link of 10 Mbit/s followed the store for twenty others.
-TEST(follower_selection_test, HostsWithWideLinksComeFirst) {
+// Guards against a follower with a 10 Mbit/s link that sends each configuration
+// to twenty other daemons, which delays its callers for seconds.
+TEST(follower_selection_test, PrefersHostsWithFastLinks) {
   std::vector<daemon_record> fleet = MakeFleet(40);
   for (const size_t wide : {4U, 5U, 6U, 7U}) {
     fleet[wide].link_rate = 200;
@@ -63,7 +63,7 @@
   EXPECT_EQ(Followers(fleet),
             (std::vector<std::string>{"d4", "d5", "d6", "d7"}));
   fleet[4].is_leaving = true;
-  EXPECT_EQ(Followers(fleet).size(), 5U) << "the leaving one still follows";
+  EXPECT_EQ(Followers(fleet).size(), 5U) << "the leaving daemon still follows";
 }
 
 }  // namespace
--- a/unittests/Fleet/idle_item_store.h
+++ b/unittests/Fleet/idle_item_store.h
@@ -1,5 +1,5 @@
 /// \file
-/// A store that answers nothing.
+/// An item store that never replies.
 #ifndef CUMINSWITCH_UNITTESTS_FLEET_IDLE_ITEM_STORE_H_
 #define CUMINSWITCH_UNITTESTS_FLEET_IDLE_ITEM_STORE_H_
 
@@ -9,7 +9,8 @@
 
 namespace cuminswitch {
 
-/// Takes all calls and ends none; a test overrides those that it is about.
+/// Accepts all calls and never invokes their callbacks. Tests override the
+/// calls that they need.
 class idle_item_store : public item_store {
  public:
   void ReadAll(std::function<void(store_items)> /*done*/) override {}
--- a/unittests/Fleet/item_list_cache_test.cc
+++ b/unittests/Fleet/item_list_cache_test.cc
@@ -1,4 +1,4 @@
-// The list that a daemon hands to those that start.
+// The cached list of items that a daemon sends to starting peers.
 #include "cuminswitch/Fleet/item_list_cache.h"
 
 #include <gtest/gtest.h>
@@ -33,9 +33,9 @@
   item_list_cache cache_;
 };
 
-// Symptom: the seeds of a fleet that starts are busy for seconds. Cause: each
-// of a hundred questions had the list of 3,000 items encoded anew.
-TEST_F(item_list_cache_test, OneListServesAllWhoAskWithinASecond) {
+// Guards against encoding the list of 3,000 items for each of a hundred
+// requests, which keeps the seeds of a starting fleet busy for seconds.
+TEST_F(item_list_cache_test, ReusesListWithinOneSecond) {
   Change(5);
   for (int i = 0; i < 100; ++i) {
     Change(6 + i);
@@ -45,7 +45,7 @@
   EXPECT_EQ(cache_.encoded_count(), 1U);
 }
 
-TEST_F(item_list_cache_test, AnOldListIsNotHandedOut) {
+TEST_F(item_list_cache_test, DoesNotReuseExpiredList) {
   Change(5);
   cache_.Get(kStart, view_, 0);
   Change(6);
@@ -55,7 +55,7 @@
   EXPECT_TRUE(later.is_complete);
 }
 
-TEST_F(item_list_cache_test, WhoKnowsTheListGetsANewerOne) {
+TEST_F(item_list_cache_test, EncodesNewListForPeerThatHasCachedRevision) {
   Change(5);
   cache_.Get(kStart, view_, 0);
   Change(6);
--- a/unittests/Fleet/item_view_test.cc
+++ b/unittests/Fleet/item_view_test.cc
@@ -1,4 +1,4 @@
-// Items from the store and from peers, in any order.
+// Changes of items from the store and from peers, in any order.
 #include "cuminswitch/Fleet/item_view.h"
 
 #include <gtest/gtest.h>
@@ -21,11 +21,10 @@
   return {.key = key, .value = std::nullopt, .revision = revision};
 }
 
-// Symptom: a daemon goes back to a configuration that was replaced.
-// Sequence: it learns version 2 from the store; a peer's late frame brings
-// version 1.
-// Cause: the last message won, not the newest revision.
-TEST(item_view_test, NothingOlderReplacesAnythingNewer) {
+// Guards against a return to a replaced configuration: a daemon gets version 2
+// from the store, then a late frame of a peer with version 1. The newest
+// revision must win, not the last message.
+TEST(item_view_test, IgnoresOlderChange) {
   item_view view;
   view.ApplyChanges(std::vector{Put("a", "2", 20)}, 20);
   EXPECT_TRUE(view.ApplyChanges(std::vector{Put("a", "1", 10)}, 10).empty());
@@ -33,9 +32,9 @@
   EXPECT_EQ(view.revision(), 20U);
 }
 
-// Symptom: requests go to an upstream that left.
-// Sequence: its entry goes; a peer that was behind sends the entry again.
-TEST(item_view_test, WhatWentDoesNotComeBackWithAnOldChange) {
+// Guards against requests to an upstream that has stopped: its entry is
+// removed, then a peer that is behind sends the entry again.
+TEST(item_view_test, DoesNotRestoreRemovedItemFromOlderChange) {
   item_view view;
   view.ApplyChanges(std::vector{Put("a", "1", 10), Removed("a", 30)}, 30);
   EXPECT_TRUE(view.ApplyChanges(std::vector{Put("a", "1", 10)}, 10).empty());
@@ -45,17 +44,16 @@
   EXPECT_EQ(view.entries().at("a").value, "3");
 }
 
-TEST(item_view_test, AFullReadDropsWhatIsNotThere) {
+TEST(item_view_test, RemovesItemsMissingFromCompleteRead) {
   item_view view;
   view.ApplyAll(std::vector{Put("a", "1", 1), Put("b", "1", 2)}, 5);
   view.ApplyAll(std::vector{Put("a", "1", 1)}, 9);
   EXPECT_FALSE(view.entries().at("b").value.has_value());
 }
 
-// Symptom: an upstream that has just come is missing.
-// Sequence: pages of a read are as of revision 5; meanwhile a change of
-// revision 7 came from a peer.
-TEST(item_view_test, AFullReadKeepsWhatIsNewerThanIt) {
+// Guards against the loss of a new upstream: a complete read reflects revision
+// 5, while a peer has already sent a change of revision 7.
+TEST(item_view_test, KeepsItemsNewerThanCompleteRead) {
   item_view view;
   view.ApplyChanges(std::vector{Put("new", "1", 7)}, 7);
   view.ApplyAll(std::vector{Put("a", "1", 1)}, 5);
@@ -63,7 +61,7 @@
   EXPECT_EQ(view.revision(), 7U);
 }
 
-TEST(item_view_test, ListsWhatAPeerLacks) {
+TEST(item_view_test, ListsRelayedChangesAfterRevision) {
   item_view view;
   view.ApplyChanges(
       std::vector{Put("a", "1", 1), Put("b", "1", 2), Removed("c", 3)}, 3);
@@ -77,9 +75,9 @@
   EXPECT_EQ(view.ListAll().size(), 3U);
 }
 
-// Peers ask and are answered five times a second for nothing: upstreams that
-// only renewed their items counted as news.
-TEST(item_view_test, ARenewedItemIsNoNews) {
+// Guards against needless requests between peers, five per second, that occur
+// when renewals of upstreams' items count as changes to relay.
+TEST(item_view_test, DoesNotRelayRenewals) {
   item_view view;
   view.ApplyChanges(std::vector{Put("a", "1", 1), Put("b", "1", 2)}, 2);
   view.MarkForRelay("a");
@@ -91,8 +89,9 @@
   EXPECT_EQ(view.entries().at("a").value, "1 renewed");
 }
 
-// Many items share a revision, and some are further back than is remembered.
-TEST(item_view_test, ListsNewsFromHoweverFarBack) {
+// Several items share a revision, and some changes are older than the recent
+// ones that the view indexes.
+TEST(item_view_test, ListsRelayedChangesFromAnyRevision) {
   item_view view;
   std::vector<item_change> changes;
   changes.reserve(9000);
@@ -109,7 +108,7 @@
   }
 }
 
-TEST(item_view_test, SaysWhatItForgets) {
+TEST(item_view_test, ReportsKeysOfPrunedItems) {
   item_view view;
   std::set<std::string> known;
   for (revision_number i = 1; i <= 2000; ++i) {
@@ -124,7 +123,7 @@
   EXPECT_EQ(known.size(), view.entries().size());
 }
 
-TEST(item_view_test, ForgetsOldGoneItemsAndSaysSo) {
+TEST(item_view_test, PrunesRemovedItemsAndReportsMissingHistory) {
   item_view view;
   for (revision_number i = 1; i <= 2000; ++i) {
     view.ApplyChanges(std::vector{Removed("key" + std::to_string(i), i)}, i);
@@ -134,8 +133,9 @@
   EXPECT_TRUE(view.HasHistorySince(1999));
 }
 
-// Any order of the same changes ends in the same view. Seeded.
-TEST(item_view_test, TheOrderDoesNotMatter) {
+// The same changes in any order give the same view. The shuffling has a fixed
+// seed.
+TEST(item_view_test, ConvergesForAnyOrderOfChanges) {
   std::vector<item_change> changes;
   for (revision_number i = 1; i <= 12; ++i) {
     const std::string key = "k" + std::to_string(i % 4);
@@ -160,17 +160,18 @@
   }
 }
 
-// Guards against a deletion that is lost on the way through a peer whose first
-// list is from after it.
-TEST(item_view_test, AViewThatBeganLaterDoesNotPassForAHistory) {
+// Guards against a removal that is lost because a peer relays changes although
+// its first list is newer than the removal.
+TEST(item_view_test, HasNoHistoryBeforeFirstList) {
   item_view late;
   late.ApplyAll(
       std::vector<item_change>{{.key = "a", .value = "1", .revision = 90}},
       100);
-  EXPECT_FALSE(late.HasHistorySince(60)) << "what went at 80 is not listed";
+  EXPECT_FALSE(late.HasHistorySince(60))
+      << "a removal at revision 80 is not in the list";
   EXPECT_TRUE(late.HasHistorySince(100));
   late.ApplyAll({}, 120);
-  EXPECT_TRUE(late.HasHistorySince(100)) << "it knows what went since";
+  EXPECT_TRUE(late.HasHistorySince(100)) << "it has all removals since";
 }
 
 }  // namespace
--- a/unittests/Fleet/item_watcher_test.cc
+++ b/unittests/Fleet/item_watcher_test.cc
@@ -1,4 +1,4 @@
-// How a daemon that starts comes to know all items.
+// How a starting daemon gets all items.
 #include "cuminswitch/Fleet/item_watcher.h"
 
 #include <event2/event.h>
@@ -15,8 +15,8 @@
 namespace cuminswitch {
 namespace {
 
-/// A store whose reads end when the test says so.
-class waiting_store : public idle_item_store {
+/// A store whose calls wait until the test completes them.
+class manual_store : public idle_item_store {
  public:
   void ReadAll(std::function<void(store_items)> done) override {
     reading = std::move(done);
@@ -58,15 +58,15 @@
 
   std::unique_ptr<event_base, base_deleter> base_;
   event_log log_;
-  waiting_store store_;
+  manual_store store_;
   item_watcher item_watcher_;
 };
 
-// Symptom: 30 s after all of 300 daemons were killed the fleet serves nobody.
-// Sequence: all start at once, and each reads a megabyte of items from the
-// store, though some have them already. Cause: nobody took a peer's list while
-// its own read was under way, so that the store's link stayed full.
-TEST_F(item_watcher_test, APeersListEndsTheReadThatIsUnderWay) {
+// Guards against a slow restart of a fleet: 300 daemons start at once, and each
+// reads a megabyte of items from the store although some peers have them
+// already. If a peer's list does not end the read in progress, the store's link
+// stays saturated, and the fleet serves no requests for 30 s.
+TEST_F(item_watcher_test, CancelsReadWhenPeerSendsCompleteList) {
   ASSERT_TRUE(store_.reading);
   item_watcher_.OnPeerItems(
       {.revision = 7,
@@ -79,7 +79,7 @@
   EXPECT_EQ(store_.watched_after, 7U);
 }
 
-TEST_F(item_watcher_test, APartOfTheItemsDoesNotEndIt) {
+TEST_F(item_watcher_test, ContinuesReadWhenPeerSendsSomeItems) {
   item_watcher_.OnPeerItems(
       {.revision = 7,
        .is_complete = false,
@@ -88,17 +88,18 @@
   EXPECT_TRUE(store_.reading);
 }
 
-// Guards against daemons that notice the store's return over a second late.
-TEST_F(item_watcher_test, ALostStoreIsNotAskedToHoldItsAnswerBack) {
+// Guards against a delay of over a second until daemons detect the store's
+// recovery.
+TEST_F(item_watcher_test, UsesShortWatchWhileStoreIsUnavailable) {
   store_.reading({.status = store_status::kDone, .revision = 5});
   RunTimers();
-  const std::chrono::milliseconds usual = store_.watched_for;
+  const std::chrono::milliseconds normal_wait = store_.watched_for;
   store_.watching({.status = store_status::kUnknown});
   RunTimers();
-  EXPECT_LE(store_.watched_for, usual / 5);
+  EXPECT_LE(store_.watched_for, normal_wait / 5);
   store_.watching({.status = store_status::kDone, .revision = 5});
   RunTimers();
-  EXPECT_EQ(store_.watched_for, usual);
+  EXPECT_EQ(store_.watched_for, normal_wait);
 }
 
 }  // namespace
--- a/unittests/Fleet/leader_election_test.cc
+++ b/unittests/Fleet/leader_election_test.cc
@@ -1,4 +1,5 @@
-// One leader at a time, also when hosts are suspended and answers are lost.
+// At most one leader at a time, even if hosts are suspended or replies are
+// lost.
 #include "cuminswitch/Fleet/leader_election.h"
 
 #include <gtest/gtest.h>
@@ -14,20 +15,20 @@
 
 using std::chrono::milliseconds;
 
-/// A store with one key and its lease, on a clock that the test moves. Calls
-/// wait until the test answers them.
+/// A store with one key and its lease, on a clock that the test advances. Calls
+/// wait until the test completes them.
 class fake_store : public idle_item_store {
  public:
   void Write(const conditional_write& write,
              std::function<void(store_write)> done) override {
     calls.push_back([this, write, done](bool is_lost) {
-      store_write answer{.status = store_status::kConflict};
+      store_write reply{.status = store_status::kConflict};
       if (holder_lease == 0) {
         holder_lease = write.lease;
         holder = write.value;
-        answer = {.status = store_status::kDone, .revision = ++revision};
+        reply = {.status = store_status::kDone, .revision = ++revision};
       }
-      done(is_lost ? store_write{} : answer);
+      done(is_lost ? store_write{} : reply);
     });
   }
   void GrantLease(milliseconds time_to_live,
@@ -43,10 +44,10 @@
   void KeepLease(lease_number lease,
                  std::function<void(store_lease)> done) override {
     calls.push_back([this, lease, done](bool is_lost) {
-      const bool lives = lease == holder_lease;
+      const bool is_valid = lease == holder_lease;
       done(is_lost ? store_lease{}
-                   : store_lease{.status = lives ? store_status::kDone
-                                                 : store_status::kNoLease,
+                   : store_lease{.status = is_valid ? store_status::kDone
+                                                    : store_status::kNoLease,
                                  .lease = lease,
                                  .time_to_live = milliseconds(1500)});
     });
@@ -60,7 +61,7 @@
     holder_lease = 0;
     holder.clear();
   }
-  void AnswerAll(bool is_lost = false) {
+  void CompleteAll(bool is_lost = false) {
     while (!calls.empty()) {
       const auto call = calls.front();
       calls.pop_front();
@@ -83,12 +84,12 @@
                             .handover_gap = milliseconds(3000)},
                            store_);
   }
-  /// Lets \p span pass in small steps, with all answers.
-  void Pass(leader_election& election, milliseconds span) {
+  /// Advances the clock by \p span in small steps, and completes all calls.
+  void Advance(leader_election& election, milliseconds span) {
     const time_point end = now_ + span;
     for (; now_ < end; now_ += milliseconds(50)) {
       election.OnTick(now_, store_.holder);
-      store_.AnswerAll();
+      store_.CompleteAll();
     }
   }
 
@@ -96,80 +97,80 @@
   time_point now_{std::chrono::seconds(100)};
 };
 
-// Symptom: two leaders' orders meet at one engine.
-// Sequence: a leader dies right after an order; its successor is elected.
-TEST_F(leader_election_test, ANewLeaderWaitsBeforeItsFirstOrder) {
+// Guards against commands of two leaders at the same engine: a leader fails
+// right after a command, and its successor is elected.
+TEST_F(leader_election_test, WaitsBeforeFirstCommandOfTerm) {
   leader_election election = MakeElection("a");
-  Pass(election, milliseconds(200));
+  Advance(election, milliseconds(200));
   EXPECT_TRUE(election.IsLeading(now_));
   EXPECT_FALSE(election.MaySendCommand(now_));
-  Pass(election, milliseconds(3100));
+  Advance(election, milliseconds(3100));
   EXPECT_TRUE(election.MaySendCommand(now_));
 }
 
-TEST_F(leader_election_test, WhileAnotherLeadsNothingIsClaimed) {
+TEST_F(leader_election_test, DoesNotClaimWhileAnotherLeads) {
   store_.holder_lease = 77;
   store_.holder = "b";
   leader_election election = MakeElection("a");
-  Pass(election, milliseconds(2000));
+  Advance(election, milliseconds(2000));
   EXPECT_FALSE(election.IsLeading(now_));
   EXPECT_EQ(store_.last_lease, 0U);
 }
 
-// Symptom: a host that was suspended sends an order beside its successor's.
-// Sequence: the leader is suspended past its lease and wakes up.
-// Cause: a clock that stands still while the host does.
-TEST_F(leader_election_test, AfterASuspensionNothingIsSent) {
+// Guards against commands of a former leader: its host is suspended until after
+// the lease has expired, and resumes. A clock that stops during the suspension
+// would not show that.
+TEST_F(leader_election_test, SendsNoCommandAfterSuspension) {
   leader_election election = MakeElection("a");
-  Pass(election, milliseconds(4000));
+  Advance(election, milliseconds(4000));
   ASSERT_TRUE(election.MaySendCommand(now_));
   now_ += std::chrono::seconds(2);
   EXPECT_FALSE(election.MaySendCommand(now_));
   store_.Expire();
-  Pass(election, milliseconds(100));
+  Advance(election, milliseconds(100));
   EXPECT_FALSE(election.MaySendCommand(now_))
-      << "a new term begins with the wait";
+      << "a new term begins with the handover gap";
 }
 
-TEST_F(leader_election_test, WithoutRenewalTheLeadEndsBeforeTheLease) {
+TEST_F(leader_election_test, EndsLeadershipBeforeLeaseExpires) {
   leader_election election = MakeElection("a");
-  Pass(election, milliseconds(4000));
+  Advance(election, milliseconds(4000));
   const time_point last_renewal_at_most = now_;
   while (election.MaySendCommand(now_)) {
     election.OnTick(now_, store_.holder);
-    store_.AnswerAll(true);
+    store_.CompleteAll(true);
     now_ += milliseconds(10);
   }
   EXPECT_LT(now_ - last_renewal_at_most, milliseconds(1500));
 }
 
-// Sequence: the claim's answer is lost, though it was done.
-TEST_F(leader_election_test, ALostAnswerToTheClaimIsNoLead) {
+// The reply to the claim is lost although the claim was executed.
+TEST_F(leader_election_test, DoesNotLeadAfterLostReplyToClaim) {
   leader_election election = MakeElection("a");
   election.OnTick(now_, "");
   const auto lease = store_.calls.front();
   store_.calls.pop_front();
   lease(false);
-  store_.AnswerAll(true);
+  store_.CompleteAll(true);
   EXPECT_EQ(store_.holder, "a");
   EXPECT_FALSE(election.IsLeading(now_));
 }
 
-TEST_F(leader_election_test, AResignedLeaderNeverLeadsAgain) {
+TEST_F(leader_election_test, DoesNotLeadAfterResignation) {
   leader_election election = MakeElection("a");
-  Pass(election, milliseconds(4000));
+  Advance(election, milliseconds(4000));
   election.Resign();
   EXPECT_EQ(store_.holder, "");
-  Pass(election, milliseconds(4000));
+  Advance(election, milliseconds(4000));
   EXPECT_FALSE(election.IsLeading(now_));
 }
 
-TEST_F(leader_election_test, FencesGrowFromTermToTerm) {
+TEST_F(leader_election_test, IncreasesFenceWithEachTerm) {
   leader_election election = MakeElection("a");
-  Pass(election, milliseconds(1000));
+  Advance(election, milliseconds(1000));
   const revision_number first = election.fence();
   store_.Expire();
-  Pass(election, milliseconds(2000));
+  Advance(election, milliseconds(2000));
   EXPECT_GT(election.fence(), first);
 }
 
--- a/unittests/Fleet/staleness_tracker_test.cc
+++ b/unittests/Fleet/staleness_tracker_test.cc
@@ -1,4 +1,4 @@
-// How long ago a daemon's items were known to be complete.
+// How long ago a daemon's items were last known to be complete.
 #include "cuminswitch/Fleet/staleness_tracker.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 constexpr time_point kStart{std::chrono::seconds(100)};
 
-TEST(staleness_tracker_test, TheYoungestEvidenceCounts) {
+TEST(staleness_tracker_test, UsesMostRecentRecord) {
   staleness_tracker tracker(1);
   EXPECT_FALSE(tracker.MostRecent(kStart));
   tracker.OnPeerReport(kStart, {.daemon_hash = 2, .age = milliseconds(300)},
@@ -25,7 +25,7 @@
             (freshness_record{.daemon_hash = 1, .age = milliseconds(20)}));
 }
 
-TEST(staleness_tracker_test, EvidenceOfAPeerThatKnowsMoreDoesNotHold) {
+TEST(staleness_tracker_test, IgnoresRecordOfPeerWithNewerRevision) {
   staleness_tracker tracker(1);
   tracker.OnPeerReport(kStart, {.daemon_hash = 2, .age = milliseconds(10)},
                        true);
@@ -33,7 +33,7 @@
   EXPECT_TRUE(tracker.HasReachedStore(kStart, 2, milliseconds(100)));
 }
 
-TEST(staleness_tracker_test, OwnEvidenceThatComesBackProvesNothingNew) {
+TEST(staleness_tracker_test, IgnoresOwnRecordReportedByPeer) {
   staleness_tracker tracker(1);
   tracker.OnStoreReply(kStart);
   const time_point later = kStart + std::chrono::seconds(2);
@@ -43,7 +43,7 @@
   EXPECT_FALSE(tracker.HasReachedStore(later, 1, std::chrono::seconds(9)));
 }
 
-TEST(staleness_tracker_test, WitnessesAreForgotten) {
+TEST(staleness_tracker_test, ForgetsReplyTimesOutsideSpan) {
   staleness_tracker tracker(1);
   tracker.OnPeerReport(kStart, {.daemon_hash = 2, .age = milliseconds(10)},
                        false);
--- a/unittests/Fleet/store_fleet.cc
+++ b/unittests/Fleet/store_fleet.cc
@@ -10,13 +10,15 @@
 using std::chrono::milliseconds;
 
 static constexpr milliseconds kStep{10};
-static constexpr milliseconds kRound{120};
-/// Upstreams renew their items, so that a watch has something to tell.
+static constexpr milliseconds kHeartbeatInterval{120};
+/// Pause between watches, which return immediately since upstreams renew their
+/// items.
 static constexpr milliseconds kWatchPause{100};
 static constexpr milliseconds kCallTimeout{1600};
 static constexpr milliseconds kMinRetryDelay{100};
 static constexpr milliseconds kMaxRetryDelay{800};
-/// As in the roster: a round's beats, and where only partners are beaten.
+/// As in the peer table: heartbeats per round, and the fleet size above which
+/// heartbeats go to gossip partners only.
 static constexpr size_t kHeartbeatsPerRound = 16;
 static constexpr size_t kPartialFrom = 192;
 static constexpr size_t kPartialHeartbeats = 4;
@@ -24,16 +26,17 @@
 store_fleet::store_fleet(size_t daemons, size_t domains, fault kind)
     : daemons_(daemons), fault_(kind) {
   for (size_t i = 0; i < daemons; ++i) {
-    living_.push_back({.name = "d" + std::to_string(i),
-                       .failure_domain = "x" + std::to_string(i % domains),
-                       .link_rate = 10});
+    alive_.push_back({.name = "d" + std::to_string(i),
+                      .failure_domain = "x" + std::to_string(i % domains),
+                      .link_rate = 10});
   }
   for (size_t i = 0; i < daemons; ++i) {
     daemon& self = daemons_[i];
-    self.staleness = staleness_tracker(Hash64(living_[i].name));
-    self.duty.OnPeers(living_[i], living_);
-    self.next_round = now_ + milliseconds(random_() % kRound.count());
-    self.turn = random_();
+    self.staleness = staleness_tracker(Hash64(alive_[i].name));
+    self.policy.OnPeers(alive_[i], alive_);
+    self.next_round =
+        now_ + milliseconds(random_() % kHeartbeatInterval.count());
+    self.rotation = random_();
   }
   Run(std::chrono::seconds(5));
 }
@@ -61,13 +64,13 @@
   return followers;
 }
 
-duration store_fleet::ConvergenceTime(duration most) {
+duration store_fleet::ConvergenceTime(duration max_time) {
   const time_point changed_at = now_;
   ++revision_;
   const auto is_behind = [this](const daemon& item) {
     return item.reaches_store && item.revision < revision_;
   };
-  while (now_ - changed_at < most &&
+  while (now_ - changed_at < max_time &&
          std::any_of(daemons_.begin(), daemons_.end(), is_behind)) {
     Run(kStep);
   }
@@ -80,21 +83,22 @@
     Call(self);
   }
   if (now_ >= self.next_round) {
-    self.next_round += kRound;
+    self.next_round += kHeartbeatInterval;
     SendHeartbeats(number);
     self.follows =
-        self.duty.ShouldFollow(now_, {.self = living_[number],
-                                      .alive = living_,
-                                      .staleness = self.staleness,
-                                      .last_reply_at = self.last_reply_at,
-                                      .last_failure_at = self.last_failure_at,
-                                      .known = daemons_.size()});
+        self.policy.ShouldFollow(now_, {.self = alive_[number],
+                                        .alive = alive_,
+                                        .staleness = self.staleness,
+                                        .last_reply_at = self.last_reply_at,
+                                        .last_failure_at = self.last_failure_at,
+                                        .known = daemons_.size()});
   }
 }
 
 void store_fleet::Call(daemon& self) {
-  const bool is_silent = fault_ == fault::kUnresponsive && !self.reaches_store;
-  if (!self.is_calling && is_silent) {
+  const bool is_unresponsive =
+      fault_ == fault::kUnresponsive && !self.reaches_store;
+  if (!self.is_calling && is_unresponsive) {
     ++calls_;
     self.is_calling = true;
     self.next_call = now_ + kCallTimeout;
@@ -105,35 +109,36 @@
     self.revision = revision_;
     self.last_reply_at = now_;
     self.staleness.OnStoreReply(now_);
-    self.pause = duration(0);
+    self.retry_delay = duration(0);
     self.next_call = now_ + kWatchPause;
     return;
   }
   self.is_calling = false;
   self.last_failure_at = now_;
-  self.pause =
-      std::clamp<duration>(self.pause * 2, kMinRetryDelay, kMaxRetryDelay);
-  self.next_call = now_ + self.pause;
+  self.retry_delay = std::clamp<duration>(self.retry_delay * 2, kMinRetryDelay,
+                                          kMaxRetryDelay);
+  self.next_call = now_ + self.retry_delay;
 }
 
 void store_fleet::SendHeartbeats(size_t number) {
   daemon& self = daemons_[number];
   const bool is_partial = daemons_.size() > kPartialFrom;
-  const size_t beats =
+  const size_t heartbeats =
       std::min(daemons_.size() - 1,
                is_partial ? kPartialHeartbeats : kHeartbeatsPerRound);
-  for (size_t i = 0; i < beats; ++i) {
+  for (size_t i = 0; i < heartbeats; ++i) {
     const size_t to = is_partial ? random_() % daemons_.size()
-                                 : self.turn++ % daemons_.size();
+                                 : self.rotation++ % daemons_.size();
     daemon& peer = daemons_[to];
     if (to == number || self.is_partitioned || peer.is_partitioned) {
       continue;
     }
-    if (const auto evidence = self.staleness.MostRecent(now_)) {
-      peer.staleness.OnPeerReport(now_, *evidence,
+    if (const auto freshness = self.staleness.MostRecent(now_)) {
+      peer.staleness.OnPeerReport(now_, *freshness,
                                   self.revision > peer.revision);
     }
-    // It asks, and is answered long before the next round.
+    // The peer requests the items, and gets the reply well before the next
+    // round.
     peer.revision = std::max(peer.revision, self.revision);
   }
 }
--- a/unittests/Fleet/store_fleet.h
+++ b/unittests/Fleet/store_fleet.h
@@ -1,5 +1,5 @@
 /// \file
-/// Daemons that learn changes of the store, in virtual time.
+/// Simulation, in virtual time, of daemons that receive changes of the store.
 #ifndef CUMINSWITCH_UNITTESTS_FLEET_STORE_FLEET_H_
 #define CUMINSWITCH_UNITTESTS_FLEET_STORE_FLEET_H_
 
@@ -16,43 +16,44 @@
 
 namespace cuminswitch {
 
-/// Plays who follows the store, and how changes and evidence reach the others.
-/// All daemons live, and hear one another unless they are cut off.
+/// Simulates which daemons follow the store, and how changes and freshness
+/// records reach the others. All daemons are alive, and receive each other's
+/// heartbeats unless they are partitioned.
 class store_fleet {
  public:
-  /// What becomes of calls that the store does not serve.
+  /// How calls fail that do not reach the store.
   enum class fault { kRefusing, kUnresponsive };
 
   store_fleet(size_t daemons, size_t domains, fault kind);
 
   void Run(duration span);
-  /// Turns \p number away from the store, or serves it again.
+  /// Sets whether the daemon \p number reaches the store.
   void SetStoreReachable(size_t number, bool reaches_store);
-  /// Cuts \p number off from all others.
+  /// Partitions the daemon \p number from all others.
   void Partition(size_t number) { daemons_[number].is_partitioned = true; }
-  /// Those that follow the store now.
+  /// Returns the daemons that follow the store now.
   std::set<size_t> Followers() const;
-  /// Changes an item; returns the time until the last daemon that reaches the
-  /// store knows, at most \p most.
-  duration ConvergenceTime(duration most);
+  /// Changes an item, and returns the time until all daemons that reach the
+  /// store have the change, at max_time \p max_time.
+  duration ConvergenceTime(duration max_time);
   size_t calls() const { return calls_; }
 
  private:
   struct daemon {
     staleness_tracker staleness{0};
-    store_follower_policy duty;
+    store_follower_policy policy;
     revision_number revision = 0;
     bool reaches_store = true;
     bool is_partitioned = false;
     bool follows = true;
     bool is_calling = false;
-    duration pause{0};
+    duration retry_delay{0};
     time_point last_reply_at{};
     time_point last_failure_at{};
-    /// When the call under way ends, or the next one begins.
+    /// End of the call in progress, or start of the next one.
     time_point next_call{};
     time_point next_round{};
-    size_t turn = 0;
+    size_t rotation = 0;
   };
 
   void Step(size_t number);
@@ -60,8 +61,9 @@
   void SendHeartbeats(size_t number);
 
   std::vector<daemon> daemons_;
-  /// Each daemon ranks itself behind none, so that one list serves all.
-  std::vector<daemon_record> living_;
+  /// All daemons. One list serves as the peers of each, since a daemon does not
+  /// rank before itself.
+  std::vector<daemon_record> alive_;
   fault fault_;
   revision_number revision_ = 1;
   time_point now_{std::chrono::seconds(1000)};
--- a/unittests/Fleet/store_follower_policy_test.cc
+++ b/unittests/Fleet/store_follower_policy_test.cc
@@ -1,4 +1,4 @@
-// Who follows the store where followers may lose it.
+// Which daemons follow the store if followers may lose it.
 #include "cuminswitch/Fleet/store_follower_policy.h"
 
 #include <gtest/gtest.h>
@@ -16,8 +16,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// The bound within which a change is in force at hosts that reach the store,
-/// where the platform's bounds are tightest.
+/// Time within which a change must be in force at hosts that reach the store;
+/// the tightest bound of the platform.
 constexpr milliseconds kBound{2000};
 
 size_t DomainsOf(size_t daemons) {
@@ -28,16 +28,16 @@
     : public testing::TestWithParam<std::tuple<size_t, store_fleet::fault>> {
  protected:
   size_t size() const { return std::get<0>(GetParam()); }
-  /// The longest of some changes, which come from when the store was lost on.
+  /// Maximum time over 12 changes in a row, the first right after the fault.
   duration MaxConvergenceTime() {
-    duration longest{0};
+    duration max_time{0};
     for (int i = 0; i < 12; ++i) {
-      longest = std::max(longest, fleet_.ConvergenceTime(seconds(20)));
+      max_time = std::max(max_time, fleet_.ConvergenceTime(seconds(20)));
       fleet_.Run(milliseconds(370));
     }
-    std::printf("%zu daemons: %lld ms until the last one knows\n", size(),
-                static_cast<long long>(longest / milliseconds(1)));
-    return longest;
+    std::printf("%zu daemons: %lld ms until the last one has the change\n",
+                size(), static_cast<long long>(max_time / milliseconds(1)));
+    return max_time;
   }
   store_fleet fleet_{size(), DomainsOf(size()), std::get<1>(GetParam())};
 };
@@ -48,14 +48,14 @@
                      testing::Values(store_fleet::fault::kRefusing,
                                      store_fleet::fault::kUnresponsive)));
 
-TEST_P(store_follower_policy_test, FewFollowWhileNothingIsWrong) {
+TEST_P(store_follower_policy_test, SelectsFewFollowersWithoutFaults) {
   EXPECT_EQ(fleet_.Followers().size(), 6U);
   EXPECT_LE(fleet_.ConvergenceTime(kBound), milliseconds(1000));
 }
 
-// Guards against followers that live without the store while others reach it.
-TEST_P(store_follower_policy_test,
-       ThoseThatReachTheStoreLearnInTimeWithoutTheFollowers) {
+// Guards against followers that are alive but cannot reach the store while
+// others can.
+TEST_P(store_follower_policy_test, ConvergesInTimeIfFollowersLoseStore) {
   const std::set<size_t> followers = fleet_.Followers();
   for (const size_t follower : followers) {
     fleet_.SetStoreReachable(follower, false);
@@ -63,27 +63,26 @@
   EXPECT_LE(MaxConvergenceTime(), kBound);
 }
 
-TEST_P(store_follower_policy_test, OneDaemonThatReachesTheStoreIsEnough) {
+TEST_P(store_follower_policy_test, ConvergesIfOneDaemonReachesStore) {
   for (size_t i = 1; i < size(); ++i) {
     fleet_.SetStoreReachable(i, false);
   }
   EXPECT_LE(MaxConvergenceTime(), kBound);
 }
 
-// Guards against a daemon that waits for peers from which it is cut off.
-TEST_P(store_follower_policy_test,
-       ThoseThatAreCutOffFromTheirPeersLearnInTime) {
+// Guards against a daemon that waits for peers from which it is partitioned.
+TEST_P(store_follower_policy_test, ConvergesInTimeAtPartitionedDaemons) {
   const std::set<size_t> followers = fleet_.Followers();
-  for (size_t i = 0, cut = 0; cut < 3; ++i) {
+  for (size_t i = 0, partitioned = 0; partitioned < 3; ++i) {
     if (!followers.contains(i)) {
       fleet_.Partition(i);
-      ++cut;
+      ++partitioned;
     }
   }
   EXPECT_LE(MaxConvergenceTime(), kBound);
 }
 
-TEST_P(store_follower_policy_test, FollowersTakeTheirPlacesBack) {
+TEST_P(store_follower_policy_test, RestoresFollowersAfterRecovery) {
   const std::set<size_t> followers = fleet_.Followers();
   for (const size_t follower : followers) {
     fleet_.SetStoreReachable(follower, false);
@@ -96,8 +95,8 @@
   EXPECT_EQ(fleet_.Followers(), followers);
 }
 
-// Guards against a fleet that storms a store which is down for everybody.
-TEST_P(store_follower_policy_test, CallsStayFewWhileTheStoreIsDown) {
+// Guards against a call storm on a store that no daemon reaches.
+TEST_P(store_follower_policy_test, LimitsCallsWhileStoreIsDown) {
   for (size_t i = 0; i < size(); ++i) {
     fleet_.SetStoreReachable(i, false);
   }
@@ -105,9 +104,9 @@
   const size_t before = fleet_.calls();
   fleet_.Run(seconds(10));
   const double rate = static_cast<double>(fleet_.calls() - before) / 10;
-  std::printf("%zu daemons, store down: %.1f calls a second\n", size(), rate);
-  // Followers try again after 0.8 s; the others 24 times a second together, or
-  // every 3 s each, give or take a quarter.
+  std::printf("%zu daemons, store down: %.1f calls per second\n", size(), rate);
+  // Followers retry after 0.8 s. The other daemons take over 24 times per
+  // second together, or every 3 s each, +/- 25%.
   const auto others = std::max(24.0, static_cast<double>(size()) / 3);
   EXPECT_LE(rate, 6 / 0.8 + others * 4 / 3);
 }
--- a/unittests/Fleet/store_outage_tracker_test.cc
+++ b/unittests/Fleet/store_outage_tracker_test.cc
@@ -1,4 +1,4 @@
-// When upstreams may live that the store does not list.
+// When upstreams that the store does not list may still be running.
 #include "cuminswitch/Fleet/store_outage_tracker.h"
 
 #include <gtest/gtest.h>
@@ -18,193 +18,196 @@
   static store_outage_tracker Make(uint64_t self) {
     return store_outage_tracker({.self = self});
   }
-  /// The store answers until `kOutageStart`, and again from \p back on.
+  /// The store replies until `kOutageStart`, and again from \p recovered on.
   static store_outage_tracker MakeAfterOutage(
       uint64_t self,
-      time_point back = kOutageEnd,
+      time_point recovered = kOutageEnd,
       revision_number at = kRecoveryRevision) {
     store_outage_tracker made = Make(self);
     made.OnStoreReply(kOutageStart, 10);
-    made.OnStoreReply(back, at);
+    made.OnStoreReply(recovered, at);
     return made;
   }
-  /// \p from sends a beat at \p sent, with \p evidence, which takes \p delay.
-  static void Tell(const store_outage_tracker& from,
-                   time_point sent,
-                   std::optional<freshness_record> evidence,
-                   milliseconds delay,
-                   store_outage_tracker& to) {
-    to.OnPeerReport(sent + delay, from.Recovery(sent), evidence);
+  /// \p from sends a heartbeat with \p freshness at \p sent, which arrives
+  /// after \p delay.
+  static void SendHeartbeat(const store_outage_tracker& from,
+                            time_point sent,
+                            std::optional<freshness_record> freshness,
+                            milliseconds delay,
+                            store_outage_tracker& to) {
+    to.OnPeerReport(sent + delay, from.Recovery(sent), freshness);
   }
-  static bool Recovery(const store_outage_tracker& lapsed, milliseconds after) {
+  /// Whether the recovery window is open \p after the end of the outage.
+  static bool IsInWindow(const store_outage_tracker& tracker,
+                         milliseconds after) {
     const time_point now = kOutageEnd + after;
-    EXPECT_EQ(lapsed.Recovery(now).event != 0, now < lapsed.Window().until);
-    return now < lapsed.Window().until;
+    EXPECT_EQ(tracker.Recovery(now).event != 0, now < tracker.Window().until);
+    return now < tracker.Window().until;
   }
-  /// The store answered another daemon \p age ago.
-  static freshness_record Answered(milliseconds age) {
+  /// The store replied to another daemon \p age ago.
+  static freshness_record RepliedAgo(milliseconds age) {
     return {.daemon_hash = 77, .age = age};
   }
 };
 
-// For two seconds after the store's return all is refused: it was away for all
-// daemons, and returns without the entries of upstreams.
-TEST_F(store_outage_tracker_test, EntriesAreAwaitedForAWhile) {
-  const store_outage_tracker lapsed = MakeAfterOutage(1);
-  EXPECT_TRUE(Recovery(lapsed, milliseconds(100)));
-  EXPECT_TRUE(Recovery(lapsed, milliseconds(1900)));
-  EXPECT_FALSE(Recovery(lapsed, milliseconds(2000)));
+// Guards against rejecting all requests for two seconds after an outage, when
+// the store recovers without the entries of upstreams.
+TEST_F(store_outage_tracker_test, OpensWindowAfterOutage) {
+  const store_outage_tracker tracker = MakeAfterOutage(1);
+  EXPECT_TRUE(IsInWindow(tracker, milliseconds(100)));
+  EXPECT_TRUE(IsInWindow(tracker, milliseconds(1900)));
+  EXPECT_FALSE(IsInWindow(tracker, milliseconds(2000)));
 }
 
-// Guards against requests to upstreams that left after the store's return.
-TEST_F(store_outage_tracker_test,
-       OnlyWhatWasRemovedBeforeTheReturnMayHaveLapsed) {
+// Guards against requests to upstreams that stopped after the store's recovery.
+TEST_F(store_outage_tracker_test, WindowEndsAtRevisionOfRecovery) {
   EXPECT_EQ(MakeAfterOutage(1).Window().last_removal, kRecoveryRevision);
 }
 
-// Guards against requests to upstreams that left, because one call failed.
-TEST_F(store_outage_tracker_test, AMomentWithoutTheStoreExcusesNothing) {
-  store_outage_tracker lapsed = Make(1);
+// Guards against requests to stopped upstreams after a single failed call.
+TEST_F(store_outage_tracker_test, IgnoresShortOutage) {
+  store_outage_tracker tracker = Make(1);
   for (milliseconds at{0}; at < seconds(30); at += milliseconds(2300)) {
-    lapsed.OnStoreReply(kOutageStart + at, 10);
-    EXPECT_EQ(lapsed.Recovery(kOutageStart + at).event, 0U);
+    tracker.OnStoreReply(kOutageStart + at, 10);
+    EXPECT_EQ(tracker.Recovery(kOutageStart + at).event, 0U);
   }
 }
 
-// An upstream gets requests seconds after it was drained: a store that turned
-// one daemon away was taken for one that was away.
-TEST_F(store_outage_tracker_test, WhatGoesWhileTheStoreServesOthersIsGone) {
-  store_outage_tracker lapsed = Make(1);
-  lapsed.OnStoreReply(kOutageStart, 10);
+// Guards against requests to an upstream seconds after it was drained, if a
+// store that rejects one daemon counts as unavailable.
+TEST_F(store_outage_tracker_test, IgnoresOutageOfSingleDaemon) {
+  store_outage_tracker tracker = Make(1);
+  tracker.OnStoreReply(kOutageStart, 10);
   for (milliseconds at{0}; at < seconds(5); at += milliseconds(500)) {
-    lapsed.OnPeerReport(kOutageStart + at, {}, Answered(milliseconds(300)));
+    tracker.OnPeerReport(kOutageStart + at, {}, RepliedAgo(milliseconds(300)));
   }
-  lapsed.OnStoreReply(kOutageEnd, kRecoveryRevision);
-  EXPECT_FALSE(Recovery(lapsed, milliseconds(100)));
+  tracker.OnStoreReply(kOutageEnd, kRecoveryRevision);
+  EXPECT_FALSE(IsInWindow(tracker, milliseconds(100)));
 }
 
-// The same after a trouble of the store that all had: a peer told of an answer
-// from before it.
-TEST_F(store_outage_tracker_test, AnAnswerFromBeforeTheOutageProvesNothing) {
-  store_outage_tracker lapsed = Make(1);
-  lapsed.OnStoreReply(kOutageStart, 10);
-  lapsed.OnPeerReport(kOutageStart + seconds(4), {},
-                      Answered(milliseconds(3900)));
-  lapsed.OnStoreReply(kOutageEnd, kRecoveryRevision);
-  EXPECT_TRUE(Recovery(lapsed, milliseconds(100)));
+// After an outage that affects all daemons, a peer reports a reply from before
+// the outage, which must not hide the outage.
+TEST_F(store_outage_tracker_test, IgnoresReplyFromBeforeOutage) {
+  store_outage_tracker tracker = Make(1);
+  tracker.OnStoreReply(kOutageStart, 10);
+  tracker.OnPeerReport(kOutageStart + seconds(4), {},
+                       RepliedAgo(milliseconds(3900)));
+  tracker.OnStoreReply(kOutageEnd, kRecoveryRevision);
+  EXPECT_TRUE(IsInWindow(tracker, milliseconds(100)));
 }
 
-// A daemon that does not follow the store learns from peers that entries may be
-// missing.
-TEST_F(store_outage_tracker_test, WhatPeersAwaitIsAwaitedToo) {
+// A daemon that does not follow the store learns of a recovery from peers.
+TEST_F(store_outage_tracker_test, AcceptsRecoveryReportedByPeer) {
   const store_outage_tracker origin = MakeAfterOutage(1);
-  store_outage_tracker lapsed = Make(2);
-  lapsed.OnPeerReport(kOutageStart, {}, Answered(milliseconds(0)));
-  Tell(origin, kOutageEnd + milliseconds(600), Answered(milliseconds(600)),
-       milliseconds(0), lapsed);
-  EXPECT_EQ(lapsed.Window().until, kOutageEnd + seconds(2));
-  EXPECT_EQ(lapsed.Window().last_removal, kRecoveryRevision);
+  store_outage_tracker tracker = Make(2);
+  tracker.OnPeerReport(kOutageStart, {}, RepliedAgo(milliseconds(0)));
+  SendHeartbeat(origin, kOutageEnd + milliseconds(600),
+                RepliedAgo(milliseconds(600)), milliseconds(0), tracker);
+  EXPECT_EQ(tracker.Window().until, kOutageEnd + seconds(2));
+  EXPECT_EQ(tracker.Window().last_removal, kRecoveryRevision);
 }
 
-// Guards against requests to upstreams that left: one host lost the store and
-// its peers, and told all others of a return that was none to them.
-TEST_F(store_outage_tracker_test,
-       AReturnIsNotBelievedWhereTheStoreAnsweredBefore) {
-  const store_outage_tracker cut_off = MakeAfterOutage(1);
-  store_outage_tracker lapsed = Make(2);
+// Guards against requests to stopped upstreams: a host that was partitioned
+// from the store and its peers reports a recovery, although the store was
+// available to all others.
+TEST_F(store_outage_tracker_test, IgnoresReportedRecoveryIfStoreReplied) {
+  const store_outage_tracker partitioned = MakeAfterOutage(1);
+  store_outage_tracker tracker = Make(2);
   for (milliseconds at{0}; at <= seconds(5); at += milliseconds(1000)) {
-    lapsed.OnStoreReply(kOutageStart + at, 10);
+    tracker.OnStoreReply(kOutageStart + at, 10);
   }
   for (const milliseconds after : {milliseconds(10), milliseconds(900)}) {
-    Tell(cut_off, kOutageEnd + after, Answered(after), milliseconds(100),
-         lapsed);
-    EXPECT_FALSE(Recovery(lapsed, after + milliseconds(100)));
+    SendHeartbeat(partitioned, kOutageEnd + after, RepliedAgo(after),
+                  milliseconds(100), tracker);
+    EXPECT_FALSE(IsInWindow(tracker, after + milliseconds(100)));
   }
 }
 
-// Guards against daemons that each count from when they noticed the return.
-TEST_F(store_outage_tracker_test, TheEarliestWitnessOfAReturnHolds) {
+// Guards against a different window at each daemon, counted from when it
+// observed the recovery itself.
+TEST_F(store_outage_tracker_test, UsesEarliestObservationOfRecovery) {
   const store_outage_tracker early = MakeAfterOutage(1);
   store_outage_tracker late =
       MakeAfterOutage(2, kOutageEnd + milliseconds(700), kRecoveryRevision + 5);
-  Tell(early, kOutageEnd + milliseconds(700), Answered(milliseconds(0)),
-       milliseconds(100), late);
+  SendHeartbeat(early, kOutageEnd + milliseconds(700),
+                RepliedAgo(milliseconds(0)), milliseconds(100), late);
   EXPECT_EQ(late.Window().until, kOutageEnd + milliseconds(2100));
   EXPECT_EQ(late.Window().last_removal, kRecoveryRevision);
-  // And the later one takes nothing back, whoever tells it.
+  // A later observation changes nothing, whoever reports it.
   store_outage_tracker other = MakeAfterOutage(3);
-  Tell(
+  SendHeartbeat(
       MakeAfterOutage(4, kOutageEnd + milliseconds(700), kRecoveryRevision + 5),
-      kOutageEnd + milliseconds(800), Answered(milliseconds(0)),
+      kOutageEnd + milliseconds(800), RepliedAgo(milliseconds(0)),
       milliseconds(100), other);
   EXPECT_EQ(other.Window().until, kOutageEnd + seconds(2));
   EXPECT_EQ(other.Window().last_removal, kRecoveryRevision);
 }
 
-// Guards against daemons that keep one another waiting for ever.
-TEST_F(store_outage_tracker_test, WhatIsPassedOnEndsHoweverLateItComes) {
+// Guards against daemons that extend each other's window indefinitely.
+TEST_F(store_outage_tracker_test, RelayedWindowEnds) {
   constexpr milliseconds kDelay{600};
   const store_outage_tracker origin = MakeAfterOutage(1);
   store_outage_tracker first = Make(2);
   store_outage_tracker second = Make(3);
   for (milliseconds at{0}; at < seconds(20); at += kDelay) {
     const time_point now = kOutageEnd + at;
-    Tell(origin, now, std::nullopt, kDelay, first);
-    Tell(first, now, std::nullopt, kDelay, second);
-    Tell(second, now, std::nullopt, kDelay, first);
+    SendHeartbeat(origin, now, std::nullopt, kDelay, first);
+    SendHeartbeat(first, now, std::nullopt, kDelay, second);
+    SendHeartbeat(second, now, std::nullopt, kDelay, first);
   }
   constexpr milliseconds kLater{4000};
-  EXPECT_FALSE(Recovery(origin, kLater));
-  EXPECT_FALSE(Recovery(first, kLater));
-  EXPECT_FALSE(Recovery(second, kLater));
+  EXPECT_FALSE(IsInWindow(origin, kLater));
+  EXPECT_FALSE(IsInWindow(first, kLater));
+  EXPECT_FALSE(IsInWindow(second, kLater));
 }
 
-// All is refused where the store goes away again before upstreams could return.
-TEST_F(store_outage_tracker_test, NothingIsDecidedWhileTheStoreIsAway) {
-  store_outage_tracker lapsed = MakeAfterOutage(1);
-  EXPECT_FALSE(lapsed.IsStoreUnavailable(kOutageEnd + milliseconds(2000)));
-  EXPECT_TRUE(lapsed.IsStoreUnavailable(kOutageEnd + milliseconds(2500)));
-  lapsed.OnStoreReply(kOutageEnd + seconds(4), kRecoveryRevision + 9);
-  EXPECT_FALSE(lapsed.IsStoreUnavailable(kOutageEnd + seconds(4)));
-  EXPECT_EQ(lapsed.Window().until, kOutageEnd + seconds(6));
-  EXPECT_EQ(lapsed.Window().last_removal, kRecoveryRevision + 9);
+// Guards against rejecting all requests if the store fails again before
+// upstreams could register.
+TEST_F(store_outage_tracker_test, OpensNewWindowAfterSecondOutage) {
+  store_outage_tracker tracker = MakeAfterOutage(1);
+  EXPECT_FALSE(tracker.IsStoreUnavailable(kOutageEnd + milliseconds(2000)));
+  EXPECT_TRUE(tracker.IsStoreUnavailable(kOutageEnd + milliseconds(2500)));
+  tracker.OnStoreReply(kOutageEnd + seconds(4), kRecoveryRevision + 9);
+  EXPECT_FALSE(tracker.IsStoreUnavailable(kOutageEnd + seconds(4)));
+  EXPECT_EQ(tracker.Window().until, kOutageEnd + seconds(6));
+  EXPECT_EQ(tracker.Window().last_removal, kRecoveryRevision + 9);
 }
 
-// All is refused after an outage, because a daemon of an earlier release tells
-// of the return without its revision.
-TEST_F(store_outage_tracker_test, AReturnWithoutARevisionIsNotTaken) {
-  store_outage_tracker lapsed = MakeAfterOutage(1);
+// Guards against rejecting all requests after an outage because a daemon of an
+// earlier release reports the recovery without its revision.
+TEST_F(store_outage_tracker_test, IgnoresRecoveryWithoutRevision) {
+  store_outage_tracker tracker = MakeAfterOutage(1);
   const time_point now = kOutageEnd + milliseconds(500);
-  lapsed.OnPeerReport(now, {.event = 9, .left = milliseconds(1700)},
-                      std::nullopt);
-  EXPECT_EQ(lapsed.Window().last_removal, kRecoveryRevision);
+  tracker.OnPeerReport(now, {.event = 9, .left = milliseconds(1700)},
+                       std::nullopt);
+  EXPECT_EQ(tracker.Window().last_removal, kRecoveryRevision);
   store_outage_tracker other = Make(2);
   other.OnPeerReport(now, {.event = 9, .left = milliseconds(1700)},
                      std::nullopt);
-  EXPECT_FALSE(Recovery(other, milliseconds(500)));
+  EXPECT_FALSE(IsInWindow(other, milliseconds(500)));
 }
 
-// A peer that tells a time out of range must not lengthen the wait, nor end it
-// long ago.
-TEST_F(store_outage_tracker_test, TimesOutOfRangeAreBounded) {
-  store_outage_tracker lapsed = Make(1);
-  lapsed.OnPeerReport(kOutageEnd,
-                      {.event = 9, .left = seconds(900), .revision = 4},
-                      std::nullopt);
-  EXPECT_EQ(lapsed.Window().until, kOutageEnd + seconds(2));
-  lapsed.OnPeerReport(kOutageEnd,
-                      {.event = 9, .left = -seconds(900), .revision = 4},
-                      std::nullopt);
-  EXPECT_EQ(lapsed.Window().until, kOutageEnd);
+// A time out of range reported by a peer must neither extend the window nor end
+// it in the past.
+TEST_F(store_outage_tracker_test, ClampsReportedTime) {
+  store_outage_tracker tracker = Make(1);
+  tracker.OnPeerReport(kOutageEnd,
+                       {.event = 9, .left = seconds(900), .revision = 4},
+                       std::nullopt);
+  EXPECT_EQ(tracker.Window().until, kOutageEnd + seconds(2));
+  tracker.OnPeerReport(kOutageEnd,
+                       {.event = 9, .left = -seconds(900), .revision = 4},
+                       std::nullopt);
+  EXPECT_EQ(tracker.Window().until, kOutageEnd);
 }
 
-// Guards against requests to upstreams that left: a process that had just
-// started took its first answer for the store's return.
-TEST_F(store_outage_tracker_test, AFirstAnswerIsNoReturn) {
-  store_outage_tracker lapsed = Make(1);
-  EXPECT_FALSE(lapsed.IsStoreUnavailable(kOutageEnd));
-  lapsed.OnStoreReply(kOutageEnd, kRecoveryRevision);
-  EXPECT_FALSE(Recovery(lapsed, milliseconds(0)));
+// Guards against requests to stopped upstreams if a process that has just
+// started takes the store's first reply for a recovery.
+TEST_F(store_outage_tracker_test, FirstReplyIsNoRecovery) {
+  store_outage_tracker tracker = Make(1);
+  EXPECT_FALSE(tracker.IsStoreUnavailable(kOutageEnd));
+  tracker.OnStoreReply(kOutageEnd, kRecoveryRevision);
+  EXPECT_FALSE(IsInWindow(tracker, milliseconds(0)));
 }
 
 }  // namespace
--- a/unittests/Fleet/upstream_directory_test.cc
+++ b/unittests/Fleet/upstream_directory_test.cc
@@ -1,4 +1,4 @@
-// Which of the listed upstreams are used.
+// Which of the listed upstreams are in use.
 #include "cuminswitch/Fleet/upstream_directory.h"
 
 #include <gtest/gtest.h>
@@ -17,17 +17,18 @@
 const endpoint kHere{"10.0.0.1", 80};
 const endpoint kThere{"10.0.0.2", 80};
 constexpr time_point kNow{std::chrono::seconds(100)};
-/// Of each removal.
+/// Store revision of each removal.
 constexpr revision_number kRemoved = 50;
-/// The store returned just now, after the removals.
-constexpr recovery_window kReturned{.until = kNow + milliseconds(2000),
-                                    .last_removal = kRemoved};
+/// The store has just recovered, after the removals.
+constexpr recovery_window kRecovered{.until = kNow + milliseconds(2000),
+                                     .last_removal = kRemoved};
 
 using ids = std::vector<std::string>;
 
 class upstream_directory_test : public testing::Test {
  protected:
-  /// Lists \p entries and nothing else, in any order, as the store would.
+  /// Applies the changes that make \p entries, in any order, the store's
+  /// complete list.
   void List(const std::vector<upstream_entry>& entries,
             time_point now = kNow,
             const recovery_window& window = {}) {
@@ -42,10 +43,10 @@
     }
     listed_ = listed;
     for (const upstream_entry& entry : entries) {
-      directory_.Apply(now, News(entry), window);
+      directory_.Apply(now, MakeUpdate(entry), window);
     }
   }
-  static upstream_entry_update News(const upstream_entry& entry) {
+  static upstream_entry_update MakeUpdate(const upstream_entry& entry) {
     return {.id = entry.id,
             .entry = std::make_shared<const upstream_entry>(entry)};
   }
@@ -61,25 +62,26 @@
   ids listed_;
 };
 
-// Requests that one upstream after the other refuses for five seconds after a
-// crash: entries whose address another start has taken were used.
-TEST_F(upstream_directory_test, TheLatestEntryHasTheAddress) {
+// Guards against requests that upstreams reject for five seconds after a crash,
+// because an entry is used whose address belongs to a later run.
+TEST_F(upstream_directory_test, UsesLatestEntryAtAddress) {
   List({{.id = "new", .address = kHere, .revision = 9},
         {.id = "old", .address = kHere, .revision = 5},
         {.id = "other", .address = kThere, .revision = 2}});
   EXPECT_EQ(InUse(), (ids{"new", "other"}));
 }
 
-TEST_F(upstream_directory_test, TheLatestEntryTakesTheAddressOver) {
+TEST_F(upstream_directory_test, LaterEntryTakesOverAddress) {
   List({{.id = "old", .address = kHere, .revision = 5}});
   List({{.id = "old", .address = kHere, .revision = 5},
         {.id = "new", .address = kHere, .revision = 9}});
   EXPECT_EQ(InUse(), ids{"new"});
 }
 
-// An engine that has just come back gets nothing: the last write at its address
-// won, by the process before it that said late that it leaves.
-TEST_F(upstream_directory_test, ALateWriteDoesNotTakeTheAddressBack) {
+// Guards against an engine that gets no requests after a restart, because a
+// late write of the previous process, which reports that it is draining, counts
+// as the latest entry at the address.
+TEST_F(upstream_directory_test, LateWriteDoesNotTakeAddressBack) {
   List({{.id = "new", .address = kHere, .revision = 9},
         {.id = "old", .address = kHere, .revision = 5}});
   List({{.id = "new", .address = kHere, .revision = 9},
@@ -87,13 +89,13 @@
   EXPECT_EQ(InUse(), ids{"new"});
 }
 
-TEST_F(upstream_directory_test, TheLaterStartHasTheAddressWhereBothTellIt) {
+TEST_F(upstream_directory_test, UsesLaterStartTimeAtAddress) {
   List({{.id = "new", .address = kHere, .started = 200, .revision = 5},
         {.id = "old", .address = kHere, .started = 100, .revision = 9}});
   EXPECT_EQ(InUse(), ids{"new"});
 }
 
-TEST_F(upstream_directory_test, AnIdThatWasGoneBeginsAnew) {
+TEST_F(upstream_directory_test, UsesIdAgainAfterRemoval) {
   List({{.id = "new", .address = kHere, .revision = 9},
         {.id = "old", .address = kHere, .revision = 5}});
   List({{.id = "new", .address = kHere, .revision = 9}});
@@ -101,44 +103,47 @@
   EXPECT_EQ(InUse(), ids{"old"});
 }
 
-// For two seconds after the store's return all is refused: it was away for all
-// daemons, and returns without the entries of upstreams that it did not hear.
-TEST_F(upstream_directory_test, EntriesThatLapsedAreKeptForAWhile) {
+// Guards against rejecting all requests for two seconds after an outage, when
+// the store recovers without the entries of upstreams whose heartbeats it did
+// not receive.
+TEST_F(upstream_directory_test, RetainsExpiredEntriesDuringWindow) {
   List({{.id = "a", .address = kHere}, {.id = "b", .address = kThere}});
-  List({{.id = "a", .address = kHere}}, kNow, kReturned);
+  List({{.id = "a", .address = kHere}}, kNow, kRecovered);
   EXPECT_EQ(InUse(), (ids{"a", "b"}));
-  directory_.Expire(kNow + milliseconds(1900), kReturned);
+  directory_.Expire(kNow + milliseconds(1900), kRecovered);
   EXPECT_TRUE(directory_.HasRetained());
   EXPECT_EQ(InUse(), (ids{"a", "b"}));
-  directory_.Expire(kNow + milliseconds(2000), kReturned);
+  directory_.Expire(kNow + milliseconds(2000), kRecovered);
   EXPECT_FALSE(directory_.HasRetained());
   EXPECT_EQ(InUse(), ids{"a"});
 }
 
-// Guards against requests to an upstream that left after the store's return.
-TEST_F(upstream_directory_test, WhatIsRemovedAfterTheReturnIsGone) {
-  constexpr recovery_window kBefore{.until = kReturned.until,
+// Guards against requests to an upstream that stopped after the store's
+// recovery.
+TEST_F(upstream_directory_test, RemovesEntryRemovedAfterRecovery) {
+  constexpr recovery_window kBefore{.until = kRecovered.until,
                                     .last_removal = kRemoved - 1};
   List({{.id = "a", .address = kHere}});
   List({}, kNow, kBefore);
   EXPECT_TRUE(InUse().empty());
 }
 
-// The same where another daemon saw the return earlier, and tells so later.
-TEST_F(upstream_directory_test, AnEarlierReturnEndsTheKeepingAtOnce) {
+// The same if another daemon observed the recovery earlier, and reports it
+// later.
+TEST_F(upstream_directory_test, EarlierRecoveryEndsRetention) {
   List({{.id = "a", .address = kHere}});
-  List({}, kNow, kReturned);
+  List({}, kNow, kRecovered);
   EXPECT_EQ(InUse(), ids{"a"});
   directory_.Expire(kNow,
-                    {.until = kReturned.until, .last_removal = kRemoved - 1});
+                    {.until = kRecovered.until, .last_removal = kRemoved - 1});
   EXPECT_TRUE(InUse().empty());
 }
 
-// All is refused where the store goes away once more before upstreams are back:
-// they were kept for the time after the first return only.
-TEST_F(upstream_directory_test, WhatLapsedIsKeptAfterTheNextReturnToo) {
+// Guards against rejecting all requests if the store fails again before
+// upstreams register: entries must be retained after the second recovery too.
+TEST_F(upstream_directory_test, RetainsExpiredEntriesAfterNextRecovery) {
   List({{.id = "a", .address = kHere}});
-  List({}, kNow, kReturned);
+  List({}, kNow, kRecovered);
   const recovery_window next{.until = kNow + milliseconds(7000),
                              .last_removal = kRemoved + 10};
   directory_.Expire(kNow + milliseconds(5000), next);
@@ -147,24 +152,24 @@
   EXPECT_TRUE(InUse().empty());
 }
 
-// Requests go to an upstream whose entry says nothing of use: it was
-// overwritten while the store was away, and was taken for one that lapsed.
-TEST_F(upstream_directory_test, AnUnreadableEntryHasNotLapsed) {
+// Guards against requests to an upstream whose entry cannot be decoded: an
+// entry that was overwritten during the outage must not count as expired.
+TEST_F(upstream_directory_test, DoesNotRetainUnreadableEntry) {
   List({{.id = "a", .address = kHere}, {.id = "b", .address = kThere}});
-  directory_.Apply(kNow, {.id = "b", .is_unreadable = true}, kReturned);
+  directory_.Apply(kNow, {.id = "b", .is_unreadable = true}, kRecovered);
   EXPECT_EQ(InUse(), ids{"a"});
   EXPECT_EQ(directory_.unreadable_count(), 1U);
-  directory_.Apply(kNow, {.id = "b"}, kReturned);
+  directory_.Apply(kNow, {.id = "b"}, kRecovered);
   EXPECT_EQ(directory_.unreadable_count(), 0U);
 }
 
-TEST_F(upstream_directory_test, ADrainingUpstreamIsNeverKept) {
+TEST_F(upstream_directory_test, DoesNotRetainDrainingUpstream) {
   List({{.id = "a", .address = kHere, .is_draining = true}});
-  List({}, kNow, kReturned);
+  List({}, kNow, kRecovered);
   EXPECT_TRUE(InUse().empty());
 }
 
-TEST_F(upstream_directory_test, TellsOnlyWhatChanged) {
+TEST_F(upstream_directory_test, ReportsOnlyChanges) {
   std::vector<upstream_entry> fleet;
   fleet.reserve(500);
   for (int i = 0; i < 500; ++i) {
@@ -177,7 +182,7 @@
   EXPECT_EQ(directory_.CountOf("s"), fleet.size());
   EXPECT_TRUE(directory_.TakeChanges().empty());
   fleet[7].is_draining = true;
-  directory_.Apply(kNow, News(fleet[7]), {});
+  directory_.Apply(kNow, MakeUpdate(fleet[7]), {});
   const std::vector<upstream_change> changes = directory_.TakeChanges();
   ASSERT_EQ(changes.size(), 1U);
   EXPECT_EQ(changes[0].id, "e7");
@@ -185,8 +190,8 @@
   EXPECT_TRUE(changes[0].after->is_draining);
 }
 
-// What came and went between two calls never was.
-TEST_F(upstream_directory_test, WhatCameAndWentIsNoChange) {
+// An upstream that was added and removed between two calls is not reported.
+TEST_F(upstream_directory_test, IgnoresEntryAddedAndRemovedBetweenCalls) {
   List({{.id = "a", .address = kHere}});
   List({});
   EXPECT_TRUE(directory_.TakeChanges().empty());
--- a/unittests/Fleet/weights_rollout_test.cc
+++ b/unittests/Fleet/weights_rollout_test.cc
@@ -1,4 +1,4 @@
-// Which engine changes its weights when.
+// Which engines change their weights, and when.
 #include "cuminswitch/Fleet/weights_rollout.h"
 
 #include <gtest/gtest.h>
@@ -32,9 +32,9 @@
     }
   }
 
-  engine_report Report(uint64_t version, uint64_t orders = 0) {
+  engine_report Report(uint64_t version, uint64_t accepted_orders = 0) {
     return {.is_busy = false,
-            .accepted_orders = orders,
+            .accepted_orders = accepted_orders,
             .weights = {{.model = "m", .version = version}}};
   }
   std::vector<rollout_step> Tick(time_point now) {
@@ -63,13 +63,13 @@
   weights_rollout rollout_;
 };
 
-TEST_F(weights_rollout_test, AFewAtATime) {
+TEST_F(weights_rollout_test, LimitsConcurrentChanges) {
   EXPECT_EQ(Tick(now_).size(), 3U);
   EXPECT_TRUE(Tick(now_).empty());
   EXPECT_EQ(rollout_.ListChanging().size(), 3U);
 }
 
-TEST_F(weights_rollout_test, AFifthOfALargeService) {
+TEST_F(weights_rollout_test, ChangesFifthOfLargeServiceAtOnce) {
   for (int i = 12; i < 60; ++i) {
     upstreams_.push_back({.id = "e" + std::to_string(i),
                           .service = "s",
@@ -79,24 +79,24 @@
   EXPECT_EQ(Tick(now_).size(), 12U);
 }
 
-// Symptom: requests begin on weights that were superseded over 6 s ago.
-// Sequence: versions 2, 3 and 4 are named every 2.4 s, faster than all engines
-// change.
-// Cause: engines were taken in the order of their ids, so that the first ones
-// changed each time and the last ones never.
-TEST_F(weights_rollout_test, TheOldestWeightsGoFirst) {
+// Guards against requests that start on weights superseded over 6 s ago:
+// versions 2, 3 and 4 are published at intervals of 2.4 s, faster than all
+// engines change. In command of ids, the first engines would change each time
+// and
+// the last ones never.
+TEST_F(weights_rollout_test, ChangesOldestWeightsFirst) {
   wanted_[0].version = 4;
   for (int i = 0; i < 12; ++i) {
     Entry("e" + std::to_string(i)).weights[0].version = i < 9 ? 3 : 1;
   }
-  std::set<std::string> asked;
+  std::set<std::string> queried;
   for (const rollout_step& step : Tick(now_)) {
-    asked.insert(step.upstream);
+    queried.insert(step.upstream);
   }
-  EXPECT_EQ(asked, (std::set<std::string>{"e9", "e10", "e11"}));
+  EXPECT_EQ(queried, (std::set<std::string>{"e9", "e10", "e11"}));
 }
 
-TEST_F(weights_rollout_test, AnOrderNamesTheStateThatWasReported) {
+TEST_F(weights_rollout_test, CommandStatesReportedState) {
   Tick(now_);
   const auto step = rollout_.OnReport(now_, "e0", Report(1, 7));
   ASSERT_TRUE(step && step->command);
@@ -104,7 +104,7 @@
   EXPECT_EQ(step->command->accepted_orders, 7U);
 }
 
-TEST_F(weights_rollout_test, TheNewestNamedVersionIsOrdered) {
+TEST_F(weights_rollout_test, CommandsNewestPublishedVersion) {
   Tick(now_);
   wanted_[0].version = 5;
   Tick(now_);
@@ -112,22 +112,22 @@
   EXPECT_EQ(step->command->weights.version, 5U);
 }
 
-// Symptom: an engine falls back to older weights and stays there.
-// Sequence: an order gets no answer; it is carried out seconds later.
-// Cause: an order without answer was taken for refused, or for done.
-TEST_F(weights_rollout_test, AnOrderWithoutAnswerIsFollowedByAQuestion) {
+// Guards against an engine that returns to older weights and stays there: a
+// command gets no response, and is executed seconds later. It must count
+// neither as rejected nor as executed.
+TEST_F(weights_rollout_test, QueriesEngineAfterCommandWithoutResponse) {
   Tick(now_);
   rollout_.OnReport(now_, "e0", Report(1));
   rollout_.OnCommandResult(now_, "e0", command_result::kUnknown);
   now_ += milliseconds(600);
-  bool asked_again = false;
+  bool queried_again = false;
   for (const rollout_step& step : Tick(now_)) {
-    asked_again = asked_again || (step.upstream == "e0" && !step.command);
+    queried_again = queried_again || (step.upstream == "e0" && !step.command);
   }
-  EXPECT_TRUE(asked_again);
+  EXPECT_TRUE(queried_again);
 }
 
-TEST_F(weights_rollout_test, AnEngineThatFellBackIsChangedAgain) {
+TEST_F(weights_rollout_test, ChangesEngineAgainAfterItsWeightsRevert) {
   for (upstream_entry& entry : upstreams_) {
     entry.weights[0].version = 2;
   }
@@ -136,7 +136,7 @@
   EXPECT_EQ(Tick(now_).size(), 1U);
 }
 
-TEST_F(weights_rollout_test, AChangeThatDoesNotShowIsAskedAfter) {
+TEST_F(weights_rollout_test, QueriesEngineAfterOverdueChange) {
   Tick(now_);
   rollout_.OnReport(now_, "e0", Report(1));
   rollout_.OnCommandResult(now_, "e0", command_result::kAccepted);
@@ -144,31 +144,31 @@
   EXPECT_EQ(Tick(now_ + milliseconds(1000)).size(), 1U);
 }
 
-TEST_F(weights_rollout_test, AnEngineThatDoesNotAnswerIsLeftAloneForAWhile) {
+TEST_F(weights_rollout_test, DelaysRetryAfterQueryWithoutResponse) {
   Tick(now_);
   EXPECT_FALSE(rollout_.OnReport(now_, "e1", std::nullopt).has_value());
   EXPECT_EQ(rollout_.ListChanging(), (std::vector<std::string>{"e0", "e10"}));
 }
 
-// Symptom: for seconds most requests are refused by one engine after another.
-// Sequence: an engine that changes its weights lets its runs finish for 2 s; it
-// is asked after 0.9 s and says that it is busy.
-// Cause: a busy engine was not taken for changing any more; being idle, it drew
-// all new requests, and refused them.
-TEST_F(weights_rollout_test, ABusyEngineIsStillChanging) {
+// Guards against seconds in which engines reject most requests: an engine that
+// changes its weights completes its running requests for 2 s; it is queried
+// after 0.9 s and reports that it is busy. If it no longer counted as changing,
+// it would attract all new requests as the least loaded engine, and reject
+// them.
+TEST_F(weights_rollout_test, BusyEngineCountsAsChanging) {
   Tick(now_);
   engine_report busy = Report(1);
   busy.is_busy = true;
   EXPECT_FALSE(rollout_.OnReport(now_, "e0", busy).has_value());
   EXPECT_EQ(rollout_.ListChanging().size(), 3U);
-  EXPECT_EQ(Tick(now_ + milliseconds(200)).size(), 1U) << "it is asked again";
+  EXPECT_EQ(Tick(now_ + milliseconds(200)).size(), 1U) << "it is queried again";
 }
 
-// Symptom: an engine serves old weights for a second longer than it need.
-// Sequence: it is ordered to change, and starts again under its id before it
-// has; it comes back with the weights of before.
-// Cause: the order to its earlier start counted as under way.
-TEST_F(weights_rollout_test, AnEngineThatStartsAgainIsOrderedAgainAtOnce) {
+// Guards against an engine that serves old weights for a second longer than
+// necessary: it gets a command, and restarts with the same id and its previous
+// weights before the change. The command to its earlier run must not count as
+// in progress.
+TEST_F(weights_rollout_test, QueriesRestartedEngineImmediately) {
   Entry("e0").started = 1000;
   Tick(now_);
   rollout_.OnReport(now_, "e0", Report(1, 4));
@@ -179,12 +179,12 @@
   const auto steps = Tick(now_);
   ASSERT_EQ(steps.size(), 1U);
   EXPECT_EQ(steps[0].upstream, "e0");
-  const auto order = rollout_.OnReport(now_, "e0", Report(1, 0));
-  ASSERT_TRUE(order.has_value());
-  EXPECT_EQ(order->command->accepted_orders, 0U) << "it counts anew";
+  const auto command = rollout_.OnReport(now_, "e0", Report(1, 0));
+  ASSERT_TRUE(command.has_value());
+  EXPECT_EQ(command->command->accepted_orders, 0U) << "a new run counts from 0";
 }
 
-TEST_F(weights_rollout_test, AnEngineThatLeavesIsNotChanged) {
+TEST_F(weights_rollout_test, DoesNotChangeDrainingEngine) {
   for (upstream_entry& entry : upstreams_) {
     entry.is_draining = true;
   }
