--- a/lib/Fleet/address_selection.cc
+++ b/lib/Fleet/address_selection.cc
@@ -9,9 +9,9 @@
 
 namespace cuminswitch {
 
-/// Of an answer's addresses, the part that is of other failure domains. What a
-/// caller sends there crosses between domains.
-static constexpr size_t kOtherDomainsPart = 16;
+/// One in this many addresses of a response is in another failure domain.
+/// Requests to those hosts cross between domains, so they are few.
+static constexpr size_t kOtherDomainsDivisor = 16;
 
 namespace {
 
@@ -26,8 +26,10 @@
 
 }  // namespace
 
-/// Moves the \p count candidates with the greatest weights to the front.
-static void PutFirst(std::vector<candidate>& candidates, size_t count) {
+/// Moves the \p count candidates with the greatest weights to the front, in
+/// unspecified order.
+static void MoveHighestToFront(std::vector<candidate>& candidates,
+                               size_t count) {
   const auto end = candidates.begin() + static_cast<std::ptrdiff_t>(
                                             std::min(count, candidates.size()));
   if (end != candidates.end()) {
@@ -37,23 +39,22 @@
 }
 
 std::vector<endpoint> ChooseAddresses(std::span<const daemon_record> serving,
-                                      const address_query& question) {
+                                      const address_query& query) {
   std::vector<candidate> own;
   std::vector<candidate> others;
   for (const daemon_record& host : serving) {
-    const bool is_own = host.failure_domain == question.failure_domain;
+    const bool is_own = host.failure_domain == query.failure_domain;
     (is_own ? own : others)
-        .push_back(
-            {.weight = RendezvousWeight(question.caller, Hash64(host.name)),
-             .host = &host});
+        .push_back({.weight = RendezvousWeight(query.caller, Hash64(host.name)),
+                    .host = &host});
   }
   const size_t reserved =
-      std::min(others.size(), question.max_count / kOtherDomainsPart);
-  const size_t own_count = std::min(own.size(), question.max_count - reserved);
+      std::min(others.size(), query.max_count / kOtherDomainsDivisor);
+  const size_t own_count = std::min(own.size(), query.max_count - reserved);
   const size_t others_count =
-      std::min(others.size(), question.max_count - own_count);
-  PutFirst(own, own_count);
-  PutFirst(others, others_count);
+      std::min(others.size(), query.max_count - own_count);
+  MoveHighestToFront(own, own_count);
+  MoveHighestToFront(others, others_count);
   std::vector<endpoint> addresses;
   for (const auto& [list, count] :
        {std::pair(&own, own_count), std::pair(&others, others_count)}) {
--- a/lib/Fleet/upstream_directory.cc
+++ b/lib/Fleet/upstream_directory.cc
@@ -9,19 +9,21 @@
 
 namespace cuminswitch {
 
-/// Whether \p a began after \p b. Their own times come first: an entry's
-/// revision also grows when its upstream only says that it leaves.
-static bool IsLater(const upstream_entry& a, const upstream_entry& b) {
+/// Whether \p a started after \p b. Compares their start times first, since an
+/// entry's revision also increases when its upstream only reports that it is
+/// draining.
+static bool StartedLater(const upstream_entry& a, const upstream_entry& b) {
   if (a.started != 0 && b.started != 0 && a.started != b.started) {
     return a.started > b.started;
   }
   return std::tie(a.revision, a.id) > std::tie(b.revision, b.id);
 }
 
-/// Whether an upstream that was removed at \p revision may live.
-static bool MayHaveLapsed(time_point now,
-                          revision_number revision,
-                          const recovery_window& window) {
+/// Whether an entry that was removed at \p revision may have expired during a
+/// store outage, so that its upstream may still be running.
+static bool MayHaveExpired(time_point now,
+                           revision_number revision,
+                           const recovery_window& window) {
   return now < window.until && revision <= window.last_removal;
 }
 
@@ -30,71 +32,72 @@
   return Hash64(address.address, address.port);
 }
 
-void upstream_directory::Take(time_point now,
-                              const upstream_entry_update& news,
-                              const recovery_window& window) {
-  unreadable_.erase(news.id);
-  if (news.entry != nullptr) {
-    Put(news.entry);
+void upstream_directory::Apply(time_point now,
+                               const upstream_entry_update& update,
+                               const recovery_window& window) {
+  unreadable_.erase(update.id);
+  if (update.entry != nullptr) {
+    Put(update.entry);
     return;
   }
-  const auto found = states_.find(news.id);
-  if (news.is_unreadable) {
-    // It did not lapse: it says that the upstream is not to be used.
-    unreadable_.insert(news.id);
+  const auto found = states_.find(update.id);
+  if (update.is_unreadable) {
+    // The entry exists, so it has not expired; the upstream must not be used.
+    unreadable_.insert(update.id);
   } else if (found != states_.end() && !found->second.is_replaced &&
              !found->second.entry->is_draining &&
-             MayHaveLapsed(now, news.revision, window)) {
-    found->second.removed_at = news.revision;
-    last_kept_removal_ = std::max(last_kept_removal_, news.revision);
-    if (kept_.insert(news.id).second) {
-      kept_changes_.push_back(
-          {.id = news.id, .revision = news.revision, .is_retained = true});
+             MayHaveExpired(now, update.revision, window)) {
+    found->second.removed_at = update.revision;
+    last_retained_removal_ = std::max(last_retained_removal_, update.revision);
+    if (retained_.insert(update.id).second) {
+      retained_changes_.push_back(
+          {.id = update.id, .revision = update.revision, .is_retained = true});
     }
     return;
   }
-  Remove(news.id);
+  Remove(update.id);
 }
 
 void upstream_directory::Expire(time_point now, const recovery_window& window) {
-  if (MayHaveLapsed(now, last_kept_removal_, window)) {
+  if (MayHaveExpired(now, last_retained_removal_, window)) {
     return;
   }
-  last_kept_removal_ = window.last_removal;
-  std::vector<std::string> over;
-  for (const std::string& id : kept_) {
-    if (!MayHaveLapsed(now, states_.find(id)->second.removed_at, window)) {
-      over.push_back(id);
+  last_retained_removal_ = window.last_removal;
+  std::vector<std::string> expired;
+  for (const std::string& id : retained_) {
+    if (!MayHaveExpired(now, states_.find(id)->second.removed_at, window)) {
+      expired.push_back(id);
     }
   }
-  for (const std::string& id : over) {
+  for (const std::string& id : expired) {
     Remove(id);
   }
 }
 
 void upstream_directory::Put(const upstream_ref& entry) {
   state& known = states_[entry->id];
-  EndKeeping(entry->id);
+  EndRetention(entry->id);
   const upstream_ref before = std::exchange(known.entry, entry);
   if (known.is_replaced && before->started == entry->started) {
     return;
   }
   if (before != nullptr && !known.is_replaced) {
-    Disuse(before);
+    Deactivate(before);
   }
   known.is_replaced = false;
-  if (const auto owner = owners_.find(entry->address); owner != owners_.end()) {
+  if (const auto owner = active_by_address_.find(entry->address);
+      owner != active_by_address_.end()) {
     const upstream_ref other = owner->second;
-    if (!IsLater(*entry, *other)) {
+    if (!StartedLater(*entry, *other)) {
       known.is_replaced = true;
       return;
     }
     state& replaced = states_.find(other->id)->second;
     replaced.is_replaced = true;
-    EndKeeping(other->id);
-    Disuse(other);
+    EndRetention(other->id);
+    Deactivate(other);
   }
-  Use(entry);
+  Activate(entry);
 }
 
 void upstream_directory::Remove(const std::string& id) {
@@ -103,30 +106,31 @@
     return;
   }
   if (!found->second.is_replaced) {
-    Disuse(found->second.entry);
+    Deactivate(found->second.entry);
   }
-  EndKeeping(id);
+  EndRetention(id);
   states_.erase(found);
 }
 
-void upstream_directory::EndKeeping(const std::string& id) {
-  if (kept_.erase(id) != 0) {
-    kept_changes_.push_back({.id = id,
-                             .revision = states_.find(id)->second.removed_at,
-                             .is_retained = false});
+void upstream_directory::EndRetention(const std::string& id) {
+  if (retained_.erase(id) != 0) {
+    retained_changes_.push_back(
+        {.id = id,
+         .revision = states_.find(id)->second.removed_at,
+         .is_retained = false});
   }
 }
 
-void upstream_directory::Use(const upstream_ref& item) {
-  NoteChange(item->id, nullptr);
-  owners_[item->address] = item;
+void upstream_directory::Activate(const upstream_ref& item) {
+  RecordChange(item->id, nullptr);
+  active_by_address_[item->address] = item;
   ++service_sizes_[item->service];
   ++in_use_count_;
 }
 
-void upstream_directory::Disuse(const upstream_ref& item) {
-  NoteChange(item->id, item);
-  owners_.erase(item->address);
+void upstream_directory::Deactivate(const upstream_ref& item) {
+  RecordChange(item->id, item);
+  active_by_address_.erase(item->address);
   const auto size = service_sizes_.find(item->service);
   if (--size->second == 0) {
     service_sizes_.erase(size);
@@ -134,8 +138,8 @@
   --in_use_count_;
 }
 
-void upstream_directory::NoteChange(const std::string& id,
-                                    const upstream_ref& before) {
+void upstream_directory::RecordChange(const std::string& id,
+                                      const upstream_ref& before) {
   changed_.try_emplace(id, before);
   ++version_;
 }
