--- a/include/cuminswitch/Once/shard_journal.h
+++ b/include/cuminswitch/Once/shard_journal.h
@@ -1,5 +1,6 @@
 /// \file
-/// The owner's side of at-most-once: one shard of the idempotency-key space.
+/// Owner's journal of one shard of the idempotency-key space, which provides
+/// at-most-once execution.
 #ifndef CUMINSWITCH_ONCE_SHARD_JOURNAL_H_
 #define CUMINSWITCH_ONCE_SHARD_JOURNAL_H_
 
@@ -15,41 +16,51 @@
 
 namespace cuminswitch {
 
-/// Claims a shard, journals every start before it is granted, and answers
-/// repeats. Its safety rests on the compare-and-swap alone: an owner that was
-/// deposed, however long it was paused, fails its next write and grants
-/// nothing. Heartbeats only decide when somebody else tries to take over.
+/// Claims ownership of a shard, writes every start to the platform before
+/// granting it, and replies to repeated requests. Safety rests on the
+/// compare-and-swap alone: the next write of an owner that was deposed fails,
+/// however long its process was paused, and it grants nothing. Heartbeats only
+/// decide when another daemon tries to take over.
 class shard_journal {
  public:
   struct options {
     shard_number shard = 0;
     std::string host;
     uint64_t incarnation = 0;
-    /// How long a key is kept after the caller issued it.
+    /// Time for which a key is retained after the caller issued it.
     std::chrono::seconds retention{600};
-    /// How far callers' and hosts' wall clocks may differ.
+    /// Maximum difference between the wall clocks of callers and hosts.
     std::chrono::seconds clock_skew{60};
-    /// Least time between two writes: this shard's part of the write budget.
+    /// Minimum time between two writes: this shard's share of the fleet's write
+    /// budget.
     duration write_interval = std::chrono::milliseconds(80);
-    /// Bounds the journal, which must fit a value of the platform.
+    /// Maximum number of entries; the encoded journal must fit in one value of
+    /// the platform.
     size_t max_entries = 20'000;
-    /// Longest kept answer, in bytes; a longer one is not replayed.
-    size_t max_answer_size = 16'384;
+    /// Longest response body that is recorded for repeated requests, in bytes;
+    /// a longer one is not replayed.
+    size_t max_response_size = 16'384;
   };
 
+  /// Whether this daemon owns the shard; `kUncertain` while it is unknown
+  /// whether its last write took effect.
   enum class ownership : uint8_t { kNone, kClaiming, kOwned, kUncertain };
 
   explicit shard_journal(const options& opts);
 
-  /// Starts to take the shard over. Does nothing unless it is not owned.
+  /// Starts to claim the shard. Does nothing unless `state()` is `kNone` and no
+  /// platform call is outstanding.
   void Claim(action_list& out);
-  /// Hands the shard back so that another daemon can claim it at once.
+  /// Gives up ownership of the shard, so that another daemon can claim it at
+  /// once. Does nothing unless the shard is owned and no platform call is
+  /// outstanding.
   void Release(uint64_t unix_now, action_list& out);
-  /// Writes what waits for the journal, once the write budget allows.
+  /// Writes pending starts to the journal once the write interval has passed,
+  /// or reads the record back while ownership is uncertain.
   void OnTick(time_point now, uint64_t unix_now, action_list& out);
   void OnPlatformAnswer(time_point now,
                         uint64_t unix_now,
-                        const platform_reply& answer,
+                        const platform_reply& reply,
                         action_list& out);
   void OnStart(time_point now,
                uint64_t unix_now,
@@ -66,18 +77,18 @@
 
  private:
   enum class entry_state : uint8_t {
-    /// Waits for the journal; nothing may run yet.
+    /// Waits for the journal write; must not be executed yet.
     kPending,
-    /// May be in the journal, but was refused and never granted.
+    /// Possibly in the journal, but refused, or its grant was released unused.
     kUngranted,
-    /// Granted to `grantee`; its end has not been reported.
+    /// Granted to `requester`; its result has not been reported.
     kGranted,
-    /// Read from the journal of an earlier owner: it may have run.
+    /// Read from the journal of an earlier owner; may have been executed.
     kRecovered,
     kAnswered,
-    kEndUnknown,
+    kResultUnknown,
   };
-  /// The one request that may run, or wants to run, under a key.
+  /// The one request that holds, or waits for, the grant of a key.
   struct grantee {
     endpoint reply_to;
     std::string host;
@@ -92,28 +103,28 @@
     entry_state state = entry_state::kPending;
     uint64_t issued = 0;
     hash128 request_digest;
-    grantee asker;
-    recorded_response answer;
+    grantee requester;
+    recorded_response response;
   };
-  /// What the outstanding call on the platform is for.
+  /// Purpose of the outstanding platform call.
   enum class pending_call : uint8_t {
     kNone,
     kClaimRead,
     kClaimWrite,
     kCommit,
     kReadBack,
-    kHandBack,
+    kReleaseWrite,
   };
 
   bool IsExpired(uint64_t unix_now, uint64_t issued) const;
-  void AnswerRepeat(time_point now,
-                    entry& found,
-                    const start_request& request,
-                    action_list& out);
-  void Reply(const grantee& asker,
-             start_result verdict,
+  void ReplyToRepeatedStart(time_point now,
+                            entry& found,
+                            const start_request& request,
+                            action_list& out);
+  void Reply(const grantee& requester,
+             start_result result,
              action_list& out,
-             const recorded_response& answer = {}) const;
+             const recorded_response& response = {}) const;
   void Commit(time_point now, uint64_t unix_now, action_list& out);
   void Prune(uint64_t unix_now);
   shard_record MakeRecord() const;
@@ -121,11 +132,11 @@
             platform_operation operation,
             std::string value,
             action_list& out);
-  void OnClaimRead(const platform_reply& answer, action_list& out);
-  void OnClaimWrite(const platform_reply& answer, action_list& out);
-  void OnCommit(time_point now, const platform_reply& answer, action_list& out);
+  void OnClaimRead(const platform_reply& reply, action_list& out);
+  void OnClaimWrite(const platform_reply& reply, action_list& out);
+  void OnCommit(time_point now, const platform_reply& reply, action_list& out);
   void OnReadBack(time_point now,
-                  const platform_reply& answer,
+                  const platform_reply& reply,
                   action_list& out);
   void GrantCommitted(action_list& out);
   void RefusePending(action_list& out);
@@ -138,7 +149,7 @@
   revision_number revision_ = 0;
   uint64_t floor_ = 0;
   std::unordered_map<key_hash, entry, hash128_hasher> entries_;
-  /// Keys whose start waits for a write, and those in the write under way.
+  /// Keys whose start waits for a write, and keys in the outstanding write.
   std::vector<key_hash> waiting_;
   std::vector<key_hash> committing_;
   pending_call call_ = pending_call::kNone;
--- a/include/cuminswitch/Once/shard_manager.h
+++ b/include/cuminswitch/Once/shard_manager.h
@@ -1,6 +1,6 @@
 /// \file
-/// All idempotency-key shards as one daemon sees them: which it owns, which
-/// it should claim, and where the others' owners are.
+/// One daemon's view of all idempotency-key shards: those it owns, those it
+/// should claim, and the owners of the others.
 #ifndef CUMINSWITCH_ONCE_SHARD_MANAGER_H_
 #define CUMINSWITCH_ONCE_SHARD_MANAGER_H_
 
@@ -18,7 +18,8 @@
 
 class member_table;
 
-/// Spreads the shards over the daemons and keeps the ledgers of its own.
+/// Distributes the shards over the daemons and manages the journals of the
+/// shards that this daemon owns.
 class shard_manager {
  public:
   struct options {
@@ -26,10 +27,11 @@
     uint64_t incarnation = 0;
     uint64_t random_seed = 0;
     shard_number shard_count = 16;
-    /// Journal writes per second that the whole fleet may make.
+    /// Write budget of the whole fleet, in journal writes per second.
     double fleet_writes_per_second = 200;
+    /// Time for which a key is retained after the caller issued it.
     std::chrono::seconds retention{600};
-    /// How long a shard must be without owner before it is claimed.
+    /// Time for which a shard must have no owner before it is claimed.
     duration claim_delay = std::chrono::milliseconds(800);
   };
 
@@ -41,7 +43,7 @@
               action_list& out);
   void OnPlatformAnswer(time_point now,
                         uint64_t unix_now,
-                        const platform_reply& answer,
+                        const platform_reply& reply,
                         action_list& out);
   void OnStart(time_point now,
                uint64_t unix_now,
@@ -49,7 +51,9 @@
                action_list& out);
   void OnFinish(const finish_report& report);
   void OnRelease(const release_report& report);
-  /// Hands every shard back; `OwnedShards` becomes empty as that succeeds.
+  /// Releases the owned shards and claims no more. A shard with an outstanding
+  /// platform call or uncertain ownership is released by a later `OnTick`;
+  /// `OwnedShards` is empty once all are.
   void ReleaseAll(uint64_t unix_now, action_list& out);
 
   std::vector<shard_number> OwnedShards() const;
@@ -58,8 +62,9 @@
 
  private:
   struct slot {
-    shard_journal ledger;
-    /// Since when no serving member has said that it owns the shard.
+    shard_journal journal;
+    /// Time since which no serving member has advertised the shard as its own;
+    /// `time_point::max()` while one does.
     time_point vacant_since = time_point::max();
     time_point next_claim{};
   };
--- a/lib/Once/shard_journal.cc
+++ b/lib/Once/shard_journal.cc
@@ -8,7 +8,7 @@
 
 namespace cuminswitch {
 
-/// What a refused asker is told to wait. Longer than a read-back takes.
+/// Retry delay sent with a refusal; longer than a read-back takes.
 static constexpr uint32_t kRefusedRetrySeconds = 2;
 static constexpr duration kReadBackInterval = std::chrono::milliseconds(500);
 
@@ -48,7 +48,7 @@
                       .entries = {}};
   record.entries.reserve(entries_.size());
   for (const auto& [key, item] : entries_) {
-    // Never granted under this epoch, so a successor may take it for new.
+    // Not granted under this epoch, so a successor may accept the key as new.
     if (item.state == entry_state::kUngranted) {
       continue;
     }
@@ -69,8 +69,8 @@
     entries_[item.key] = {.state = entry_state::kRecovered,
                           .issued = item.issued,
                           .request_digest = item.request_digest,
-                          .asker = {},
-                          .answer = {}};
+                          .requester = {},
+                          .response = {}};
   }
 }
 
@@ -83,7 +83,7 @@
   shard_record record = MakeRecord();
   record.owner_host.clear();
   state_ = ownership::kNone;
-  Call(pending_call::kHandBack, platform_operation::kCompareAndSwap,
+  Call(pending_call::kReleaseWrite, platform_operation::kCompareAndSwap,
        EncodeShardRecord(record), out);
 }
 
@@ -95,75 +95,75 @@
 }
 
 void shard_journal::Prune(uint64_t unix_now) {
-  const uint64_t keep =
+  const uint64_t retained_seconds =
       static_cast<uint64_t>((options_.retention + options_.clock_skew).count());
-  if (unix_now <= keep) {
+  if (unix_now <= retained_seconds) {
     return;
   }
-  // An entry may be dropped only if its key is refused from then on by every
-  // later owner, whatever that one's clock says. So the floor is journaled
-  // together with the entries; without it a successor whose clock is behind
-  // would take a dropped key for a new one and run it again.
-  floor_ = std::max(floor_, unix_now - keep);
+  // An entry may be removed only if every later owner rejects its key, whatever
+  // that owner's clock says. The floor is therefore journaled with the entries:
+  // without it, a successor whose clock lags would accept a removed key as new
+  // and execute the request again.
+  floor_ = std::max(floor_, unix_now - retained_seconds);
   std::erase_if(entries_, [&](const auto& pair) {
     return pair.second.issued <= floor_ &&
            pair.second.state != entry_state::kPending;
   });
 }
 
-void shard_journal::Reply(const grantee& asker,
-                          start_result verdict,
+void shard_journal::Reply(const grantee& requester,
+                          start_result result,
                           action_list& out,
-                          const recorded_response& answer) const {
-  const bool refused = verdict == start_result::kRefused;
+                          const recorded_response& response) const {
+  const bool refused = result == start_result::kRefused;
   out.push_back(send_peer{
-      .to = asker.reply_to,
+      .to = requester.reply_to,
       .message =
-          start_reply{.request = asker.request,
-                      .verdict = verdict,
+          start_reply{.request = requester.request,
+                      .verdict = result,
                       .epoch = epoch_,
                       .retry_after_seconds = refused ? kRefusedRetrySeconds : 0,
-                      .answer = answer}});
+                      .answer = response}});
 }
 
-void shard_journal::AnswerRepeat(time_point now,
-                                 entry& found,
-                                 const start_request& request,
-                                 action_list& out) {
-  const grantee asker{.reply_to = request.reply_to,
-                      .host = request.host,
-                      .incarnation = request.incarnation,
-                      .request = request.request};
+void shard_journal::ReplyToRepeatedStart(time_point now,
+                                         entry& found,
+                                         const start_request& request,
+                                         action_list& out) {
+  const grantee requester{.reply_to = request.reply_to,
+                          .host = request.host,
+                          .incarnation = request.incarnation,
+                          .request = request.request};
   if (found.request_digest != request.request_digest) {
-    Reply(asker, start_result::kMismatch, out);
+    Reply(requester, start_result::kMismatch, out);
     return;
   }
   switch (found.state) {
     case entry_state::kPending:
-      if (!found.asker.IsSame(request)) {
-        Reply(asker, start_result::kStarted, out);
+      if (!found.requester.IsSame(request)) {
+        Reply(requester, start_result::kStarted, out);
       }
       return;
     case entry_state::kUngranted:
       found.state = entry_state::kPending;
-      found.asker = asker;
+      found.requester = requester;
       waiting_.push_back(request.key);
       next_write_ = std::max(next_write_, now);
       return;
     case entry_state::kGranted:
-      // The same request asks again when the grant's message was lost. An
-      // asker uses one grant per request, so granting again is idempotent.
-      Reply(asker,
-            found.asker.IsSame(request) ? start_result::kGranted
-                                        : start_result::kStarted,
+      // A request repeats its start when the grant's message was lost. A
+      // requester uses one grant per request, so granting again is idempotent.
+      Reply(requester,
+            found.requester.IsSame(request) ? start_result::kGranted
+                                            : start_result::kStarted,
             out);
       return;
     case entry_state::kAnswered:
-      Reply(asker, start_result::kAnswered, out, found.answer);
+      Reply(requester, start_result::kAnswered, out, found.response);
       return;
     case entry_state::kRecovered:
-    case entry_state::kEndUnknown:
-      Reply(asker, start_result::kStarted, out);
+    case entry_state::kResultUnknown:
+      Reply(requester, start_result::kStarted, out);
       return;
   }
 }
@@ -172,36 +172,37 @@
                             uint64_t unix_now,
                             const start_request& request,
                             action_list& out) {
-  const grantee asker{.reply_to = request.reply_to,
-                      .host = request.host,
-                      .incarnation = request.incarnation,
-                      .request = request.request};
+  const grantee requester{.reply_to = request.reply_to,
+                          .host = request.host,
+                          .incarnation = request.incarnation,
+                          .request = request.request};
   if (state_ != ownership::kOwned && state_ != ownership::kUncertain) {
-    Reply(asker, start_result::kNotOwner, out);
+    Reply(requester, start_result::kNotOwner, out);
     return;
   }
   if (IsExpired(unix_now, request.key_issued)) {
-    Reply(asker, start_result::kExpired, out);
+    Reply(requester, start_result::kExpired, out);
     return;
   }
   const auto found = entries_.find(request.key);
   const bool is_new =
       found == entries_.end() || found->second.state == entry_state::kUngranted;
-  // While a write's fate is open, nothing new can be journaled soon: say so
-  // at once instead of holding the caller.
+  // While the outcome of a write is unknown or the journal is full, no new
+  // start can be journaled soon: refuse at once instead of keeping the caller
+  // waiting.
   if (is_new && (state_ == ownership::kUncertain ||
                  entries_.size() >= options_.max_entries)) {
-    Reply(asker, start_result::kRefused, out);
+    Reply(requester, start_result::kRefused, out);
     return;
   }
   if (found != entries_.end()) {
-    AnswerRepeat(now, found->second, request, out);
+    ReplyToRepeatedStart(now, found->second, request, out);
   } else {
     entries_[request.key] = {.state = entry_state::kPending,
                              .issued = request.key_issued,
                              .request_digest = request.request_digest,
-                             .asker = asker,
-                             .answer = {}};
+                             .requester = requester,
+                             .response = {}};
     waiting_.push_back(request.key);
   }
   Commit(now, unix_now, out);
@@ -236,59 +237,58 @@
 
 void shard_journal::OnPlatformAnswer(time_point now,
                                      uint64_t unix_now,
-                                     const platform_reply& answer,
+                                     const platform_reply& reply,
                                      action_list& out) {
-  if (answer.tag.serial != call_serial_ || call_ == pending_call::kNone) {
+  if (reply.tag.serial != call_serial_ || call_ == pending_call::kNone) {
     return;
   }
   const pending_call kind = std::exchange(call_, pending_call::kNone);
   try {
     switch (kind) {
       case pending_call::kClaimRead:
-        OnClaimRead(answer, out);
+        OnClaimRead(reply, out);
         break;
       case pending_call::kClaimWrite:
-        OnClaimWrite(answer, out);
+        OnClaimWrite(reply, out);
         break;
       case pending_call::kCommit:
-        OnCommit(now, answer, out);
+        OnCommit(now, reply, out);
         break;
       case pending_call::kReadBack:
-        OnReadBack(now, answer, out);
+        OnReadBack(now, reply, out);
         break;
-      case pending_call::kHandBack:
+      case pending_call::kReleaseWrite:
       case pending_call::kNone:
         break;
     }
   } catch (const record_error&) {
-    // Not a record of ours: running on would risk a second start of a key
-    // that the journal holds, so the shard is not served.
+    // The record cannot be decoded. Serving the shard without it would risk
+    // starting a journaled key a second time, so ownership is given up.
     Depose(out);
   }
   Commit(now, unix_now, out);
 }
 
-void shard_journal::OnClaimRead(const platform_reply& answer,
-                                action_list& out) {
-  if (answer.status == platform_status::kNoAnswer) {
+void shard_journal::OnClaimRead(const platform_reply& reply, action_list& out) {
+  if (reply.status == platform_status::kNoAnswer) {
     state_ = ownership::kNone;
     return;
   }
-  if (answer.status == platform_status::kAbsent) {
+  if (reply.status == platform_status::kAbsent) {
     AdoptRecord({}, 0);
   } else {
-    AdoptRecord(DecodeShardRecord(answer.value), answer.revision);
+    AdoptRecord(DecodeShardRecord(reply.value), reply.revision);
   }
   ++epoch_;
   Call(pending_call::kClaimWrite, platform_operation::kCompareAndSwap,
        EncodeShardRecord(MakeRecord()), out);
 }
 
-void shard_journal::OnClaimWrite(const platform_reply& answer,
+void shard_journal::OnClaimWrite(const platform_reply& reply,
                                  action_list& out) {
-  switch (answer.status) {
+  switch (reply.status) {
     case platform_status::kOk:
-      revision_ = answer.revision;
+      revision_ = reply.revision;
       state_ = ownership::kOwned;
       return;
     case platform_status::kNoAnswer:
@@ -302,24 +302,26 @@
 }
 
 void shard_journal::OnCommit(time_point now,
-                             const platform_reply& answer,
+                             const platform_reply& reply,
                              action_list& out) {
-  switch (answer.status) {
+  switch (reply.status) {
     case platform_status::kOk:
-      revision_ = answer.revision;
+      revision_ = reply.revision;
       GrantCommitted(out);
       return;
     case platform_status::kNoAnswer:
-      // The write may or may not have taken effect. Nothing was granted, so
-      // refusing is true either way; the journal is read before the next one.
+      // The write may or may not have taken effect. Nothing was granted, so a
+      // refusal is correct either way; the record is read back before the next
+      // write.
       state_ = ownership::kUncertain;
       next_read_back_ = now + kReadBackInterval;
       RefusePending(out);
       return;
     case platform_status::kConflict:
     case platform_status::kAbsent:
-      // Either another daemon owns the shard now, or an earlier write of our
-      // own whose answer was lost came through late. The record tells.
+      // Either another daemon owns the shard now, or an earlier write of this
+      // daemon, whose reply was lost, took effect late. The read-back shows
+      // which.
       state_ = ownership::kUncertain;
       next_read_back_ = now;
       return;
@@ -327,28 +329,28 @@
 }
 
 void shard_journal::OnReadBack(time_point now,
-                               const platform_reply& answer,
+                               const platform_reply& reply,
                                action_list& out) {
-  if (answer.status == platform_status::kNoAnswer) {
+  if (reply.status == platform_status::kNoAnswer) {
     next_read_back_ = now + kReadBackInterval;
     RefusePending(out);
     return;
   }
-  if (answer.status == platform_status::kAbsent) {
+  if (reply.status == platform_status::kAbsent) {
     Depose(out);
     return;
   }
-  const shard_record record = DecodeShardRecord(answer.value);
-  const bool mine = record.epoch == epoch_ &&
-                    record.owner_host == options_.host &&
-                    record.owner_incarnation == options_.incarnation;
-  if (!mine) {
+  const shard_record record = DecodeShardRecord(reply.value);
+  const bool is_own_record = record.epoch == epoch_ &&
+                             record.owner_host == options_.host &&
+                             record.owner_incarnation == options_.incarnation;
+  if (!is_own_record) {
     Depose(out);
     return;
   }
-  revision_ = answer.revision;
+  revision_ = reply.revision;
   state_ = ownership::kOwned;
-  // A conflict leaves a batch that was neither written nor refused.
+  // After a conflict the batch was neither written nor refused; retry it.
   waiting_.insert(waiting_.end(), committing_.begin(), committing_.end());
   committing_.clear();
 }
@@ -361,7 +363,7 @@
       continue;
     }
     found->second.state = entry_state::kGranted;
-    Reply(found->second.asker, start_result::kGranted, out);
+    Reply(found->second.requester, start_result::kGranted, out);
   }
   committing_.clear();
 }
@@ -370,7 +372,7 @@
   for (auto& [key, item] : entries_) {
     if (item.state == entry_state::kPending) {
       item.state = entry_state::kUngranted;
-      Reply(item.asker, start_result::kRefused, out);
+      Reply(item.requester, start_result::kRefused, out);
     }
   }
   waiting_.clear();
@@ -393,12 +395,13 @@
       item.state != entry_state::kRecovered) {
     return;
   }
-  const bool replayable = report.result == outcome::kAnswered &&
-                          report.answer.status != 0 &&
-                          report.answer.body.size() <= options_.max_answer_size;
-  item.state = replayable ? entry_state::kAnswered : entry_state::kEndUnknown;
+  const bool replayable =
+      report.result == outcome::kAnswered && report.answer.status != 0 &&
+      report.answer.body.size() <= options_.max_response_size;
+  item.state =
+      replayable ? entry_state::kAnswered : entry_state::kResultUnknown;
   if (replayable) {
-    item.answer = report.answer;
+    item.response = report.answer;
   }
 }
 
@@ -407,14 +410,15 @@
   if (found == entries_.end()) {
     return;
   }
-  const grantee& asker = found->second.asker;
-  const bool same = asker.host == report.host &&
-                    asker.incarnation == report.incarnation &&
-                    asker.request == report.request;
+  const grantee& requester = found->second.requester;
+  const bool same = requester.host == report.host &&
+                    requester.incarnation == report.incarnation &&
+                    requester.request == report.request;
   if (!same) {
     return;
   }
-  // Nothing ran under the grant and nothing will, so the key is free again.
+  // Nothing was executed under the grant and nothing will be, so the key may be
+  // granted again.
   if (found->second.state == entry_state::kGranted ||
       found->second.state == entry_state::kPending) {
     found->second.state = entry_state::kUngranted;
--- a/lib/Once/shard_manager.cc
+++ b/lib/Once/shard_manager.cc
@@ -5,7 +5,7 @@
 
 namespace cuminswitch {
 
-/// Separates this use of rendezvous hashing from the others.
+/// Keeps shard placement independent of other uses of rendezvous hashing.
 static constexpr uint64_t kShardHashSeed = 0x5ca1ab1e;
 static constexpr duration kClaimRetryInterval = std::chrono::milliseconds(700);
 static constexpr duration kRebalanceInterval = std::chrono::seconds(2);
@@ -15,22 +15,22 @@
   const duration interval =
       FromSeconds(opts.shard_count / opts.fleet_writes_per_second);
   for (shard_number shard = 0; shard < opts.shard_count; ++shard) {
-    slots_.push_back({.ledger = shard_journal({.shard = shard,
-                                               .host = opts.host,
-                                               .incarnation = opts.incarnation,
-                                               .retention = opts.retention,
-                                               .write_interval = interval})});
+    slots_.push_back({.journal = shard_journal({.shard = shard,
+                                                .host = opts.host,
+                                                .incarnation = opts.incarnation,
+                                                .retention = opts.retention,
+                                                .write_interval = interval})});
   }
 }
 
 bool shard_manager::Owns(shard_number shard) const {
-  return shard < slots_.size() && slots_[shard].ledger.is_owned();
+  return shard < slots_.size() && slots_[shard].journal.is_owned();
 }
 
 std::vector<shard_number> shard_manager::OwnedShards() const {
   std::vector<shard_number> owned;
   for (shard_number shard = 0; shard < options_.shard_count; ++shard) {
-    const shard_journal::ownership state = slots_[shard].ledger.state();
+    const shard_journal::ownership state = slots_[shard].journal.state();
     if (state == shard_journal::ownership::kOwned ||
         state == shard_journal::ownership::kUncertain) {
       owned.push_back(shard);
@@ -42,7 +42,7 @@
 uint64_t shard_manager::CountWrites() const {
   uint64_t writes = 0;
   for (const slot& item : slots_) {
-    writes += item.ledger.write_count();
+    writes += item.journal.write_count();
   }
   return writes;
 }
@@ -72,7 +72,7 @@
   const auto jitter = static_cast<duration::rep>(
       random_() % static_cast<uint64_t>(kClaimRetryInterval.count()));
   item.next_claim = now + kClaimRetryInterval + duration(jitter);
-  item.ledger.Claim(out);
+  item.journal.Claim(out);
 }
 
 void shard_manager::Rebalance(time_point now,
@@ -84,17 +84,17 @@
   }
   next_rebalance_ = now + kRebalanceInterval;
   const size_t serving = members.CountServing();
-  const size_t fair = (options_.shard_count + serving - 1) / serving;
+  const size_t fair_share = (options_.shard_count + serving - 1) / serving;
   const std::vector<shard_number> owned = OwnedShards();
-  // Handing a shard back loses the kept answers, so a daemon does it only
-  // when it carries far more than its part, and one shard at a time.
-  if (owned.size() <= 2 * fair) {
+  // Releasing a shard loses its recorded responses, so a daemon does it only
+  // when it owns more than twice its fair share, and one shard at a time.
+  if (owned.size() <= 2 * fair_share) {
     return;
   }
   for (const shard_number shard : owned) {
     if (!members.IsAmongFirst(CombineHash(kShardHashSeed, shard), 1,
                               member_scope::kAll)) {
-      slots_[shard].ledger.Release(unix_now, out);
+      slots_[shard].journal.Release(unix_now, out);
       return;
     }
   }
@@ -106,8 +106,8 @@
                            action_list& out) {
   for (shard_number shard = 0; shard < options_.shard_count; ++shard) {
     slot& item = slots_[shard];
-    item.ledger.OnTick(now, unix_now, out);
-    if (!leaving_ && item.ledger.state() == shard_journal::ownership::kNone) {
+    item.journal.OnTick(now, unix_now, out);
+    if (!leaving_ && item.journal.state() == shard_journal::ownership::kNone) {
       ConsiderClaim(now, members, item, shard, out);
     }
   }
@@ -121,17 +121,16 @@
 void shard_manager::ReleaseAll(uint64_t unix_now, action_list& out) {
   leaving_ = true;
   for (slot& item : slots_) {
-    item.ledger.Release(unix_now, out);
+    item.journal.Release(unix_now, out);
   }
 }
 
 void shard_manager::OnPlatformAnswer(time_point now,
                                      uint64_t unix_now,
-                                     const platform_reply& answer,
+                                     const platform_reply& reply,
                                      action_list& out) {
-  if (answer.tag.shard < slots_.size()) {
-    slots_[answer.tag.shard].ledger.OnPlatformAnswer(now, unix_now, answer,
-                                                     out);
+  if (reply.tag.shard < slots_.size()) {
+    slots_[reply.tag.shard].journal.OnPlatformAnswer(now, unix_now, reply, out);
   }
 }
 
@@ -140,19 +139,19 @@
                             const start_request& request,
                             action_list& out) {
   if (request.shard < slots_.size()) {
-    slots_[request.shard].ledger.OnStart(now, unix_now, request, out);
+    slots_[request.shard].journal.OnStart(now, unix_now, request, out);
   }
 }
 
 void shard_manager::OnFinish(const finish_report& report) {
   if (report.shard < slots_.size()) {
-    slots_[report.shard].ledger.OnFinish(report);
+    slots_[report.shard].journal.OnFinish(report);
   }
 }
 
 void shard_manager::OnRelease(const release_report& report) {
   if (report.shard < slots_.size()) {
-    slots_[report.shard].ledger.OnRelease(report);
+    slots_[report.shard].journal.OnRelease(report);
   }
 }
 
