--- a/lib/ConfigSync/config_sync.cc
+++ b/lib/ConfigSync/config_sync.cc
@@ -11,12 +11,14 @@
 
 namespace cuminswitch {
 
-static constexpr duration kFirstBackoff = std::chrono::milliseconds(200);
-static constexpr duration kLongestBackoff = std::chrono::seconds(3);
+static constexpr duration kMinBackoff = std::chrono::milliseconds(200);
+static constexpr duration kMaxBackoff = std::chrono::seconds(3);
 static constexpr duration kPeerRequestInterval = std::chrono::milliseconds(300);
-/// Chunk reads under way at a time, so that one daemon's cold start stays a
-/// small part of the platform's rate.
+/// Maximum concurrent chunk reads, so that one daemon's cold start uses only a
+/// small share of the platform's request rate.
 static constexpr size_t kMaxChunkReads = 8;
+/// Keeps the choice of watchers independent of other uses of rendezvous
+/// hashing.
 static constexpr uint64_t kWatchHashSeed = 0xc0ffee;
 
 config_sync::config_sync(const options& opts)
@@ -36,16 +38,16 @@
       CombineHash(kWatchHashSeed, Hash64(options_.failure_domain));
   const bool is_watcher = members.IsAmongFirst(
       key, options_.watchers, member_scope::kSameFailureDomain);
-  // A daemon that still has nothing looks for itself once, should the
-  // watchers be out of its reach. It leaves them the time to read it first: at
-  // a restart of all, every daemon is empty.
-  const bool is_empty = generation_ == 0 && !read_platform_ &&
-                        now >= started_ + options_.empty_grace;
-  if (watching_ || now < next_watch_ || (!is_watcher && !is_empty)) {
+  // A daemon without a configuration queries the platform once itself, in case
+  // it cannot reach the watchers. It gives them time to read the configuration
+  // first: when the whole fleet restarts, no daemon has one.
+  const bool must_query_itself = generation_ == 0 && !has_queried_platform_ &&
+                                 now >= started_ + options_.empty_grace;
+  if (watching_ || now < next_watch_ || (!is_watcher && !must_query_itself)) {
     return;
   }
   watching_ = true;
-  read_platform_ = true;
+  has_queried_platform_ = true;
   out.push_back(platform_call{
       .tag = {.owner = call_owner::kConfigurationHead, .serial = ++serial_},
       .operation = platform_operation::kWatch,
@@ -55,51 +57,51 @@
 }
 
 void config_sync::BackOff(time_point now) {
-  backoff_ = std::clamp(backoff_ * 2, kFirstBackoff, kLongestBackoff);
+  backoff_ = std::clamp(backoff_ * 2, kMinBackoff, kMaxBackoff);
   const auto jitter = static_cast<duration::rep>(
       random_() % static_cast<uint64_t>(backoff_.count()));
   next_watch_ = now + backoff_ + duration(jitter);
 }
 
 void config_sync::OnHead(time_point now,
-                         const platform_reply& answer,
+                         const platform_reply& reply,
                          action_list& out) {
   watching_ = false;
-  if (answer.status == platform_status::kNoAnswer) {
+  if (reply.status == platform_status::kNoAnswer) {
     BackOff(now);
     return;
   }
   backoff_ = duration{0};
   next_watch_ = now;
-  if (answer.status != platform_status::kOk ||
-      answer.revision == head_revision_) {
+  if (reply.status != platform_status::kOk ||
+      reply.revision == head_revision_) {
     return;
   }
-  head_revision_ = answer.revision;
-  Consider(answer.value);
+  head_revision_ = reply.revision;
+  ConsiderHead(reply.value);
   ReadMissingChunks(out);
-  AdoptIfWhole(out);
+  AdoptIfComplete(out);
 }
 
 void config_sync::OnPlatformAnswer(time_point now,
-                                   const platform_reply& answer,
+                                   const platform_reply& reply,
                                    action_list& out) {
-  if (answer.tag.owner == call_owner::kConfigurationHead) {
-    OnHead(now, answer, out);
+  if (reply.tag.owner == call_owner::kConfigurationHead) {
+    OnHead(now, reply, out);
     return;
   }
-  const auto found = reads_by_serial_.find(answer.tag.serial);
+  const auto found = reads_by_serial_.find(reply.tag.serial);
   if (found == reads_by_serial_.end()) {
     return;
   }
   const std::string hash = found->second;
   reads_by_serial_.erase(found);
   reading_.erase(hash);
-  if (answer.status == platform_status::kOk) {
-    StoreChunk(hash, answer.value);
+  if (reply.status == platform_status::kOk) {
+    StoreChunk(hash, reply.value);
   }
-  AdoptIfWhole(out);
-  if (answer.status == platform_status::kOk) {
+  AdoptIfComplete(out);
+  if (reply.status == platform_status::kOk) {
     ReadMissingChunks(out);
   }
 }
@@ -125,7 +127,7 @@
   }
 }
 
-void config_sync::Consider(const std::string& head_bytes) {
+void config_sync::ConsiderHead(const std::string& head_bytes) {
   try {
     configuration_head head = DecodeConfigurationHead(head_bytes);
     const generation_number newest =
@@ -154,7 +156,7 @@
   }
 }
 
-void config_sync::AdoptIfWhole(action_list& out) {
+void config_sync::AdoptIfComplete(action_list& out) {
   if (!next_head_) {
     return;
   }
@@ -212,13 +214,13 @@
                           const configuration_reply& message,
                           action_list& out) {
   next_peer_request_ = now;
-  Consider(message.head);
+  ConsiderHead(message.head);
   for (const configuration_chunk& item : message.chunks) {
     if (next_head_ && !chunks_.contains(item.hash)) {
       StoreChunk(item.hash, item.text);
     }
   }
-  AdoptIfWhole(out);
+  AdoptIfComplete(out);
 }
 
 }  // namespace cuminswitch
