--- a/include/cuminswitch/Control/configuration_store.h
+++ b/include/cuminswitch/Control/configuration_store.h
@@ -17,7 +17,7 @@
 
 class platform_store;
 
-/// Thrown when the platform gives no usable answer.
+/// Thrown when the platform gives no usable reply.
 class store_error : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -31,22 +31,22 @@
 
 enum class submission_result : uint8_t {
   kAccepted,
-  /// Another configuration was accepted since the base.
+  /// Another configuration was accepted after the base generation.
   kConflict,
-  /// The platform did not say whether it was accepted.
+  /// The platform did not reply, so it is unknown whether it was accepted.
   kUnknown,
 };
 
 struct submission_answer {
   submission_result result = submission_result::kUnknown;
-  /// The generation accepted, or the one it conflicts with.
+  /// The generation that was accepted, or that the submission conflicts with.
   generation_number generation = 0;
-  /// Places changed by both, with the other operator's text before and the
-  /// submitted text after. Empty when the changes do not touch each other.
+  /// Items that both operators changed: `before` is the other operator's text,
+  /// `after` the submitted one. Empty when their changes do not overlap.
   std::vector<document_change> conflicts;
 };
 
-/// The configuration in the platform.
+/// The configuration stored on the platform.
 class configuration_store {
  public:
   explicit configuration_store(platform_store& platform)
@@ -58,9 +58,10 @@
   /// Returns an earlier configuration. Throws `store_error`.
   stored_configuration FetchGeneration(generation_number generation);
 
-  /// Submits \p config, made from generation \p base. \p submission is a text
-  /// of the caller's that no other submission has; submitting again with the
-  /// same one is idempotent. Throws `store_error` when nothing was accepted.
+  /// Submits \p config, which was edited from generation \p base. \p submission
+  /// is an identifier that the caller chooses and that is unique to this
+  /// submission; retrying with the same identifier is idempotent. Throws
+  /// `store_error` when nothing was accepted.
   submission_answer Submit(const configuration& config,
                            generation_number base,
                            const std::string& submission);
@@ -78,7 +79,8 @@
   submission_answer MakeConflict(const configuration& config,
                                  generation_number base,
                                  const current_head& current);
-  /// Whether \p submission was accepted at or before \p current.
+  /// Returns the generation, from \p first to \p current, as which
+  /// \p submission was accepted, if any.
   std::optional<generation_number> FindSubmission(
       const current_head& current,
       generation_number first,
--- a/lib/Control/configuration_store.cc
+++ b/lib/Control/configuration_store.cc
@@ -10,25 +10,25 @@
 
 namespace cuminswitch {
 
-static constexpr int kSubmitAttempts = 4;
+static constexpr int kMaxAttempts = 4;
 
 static std::string GenerationKey(generation_number generation) {
   return "cuminswitch/configuration/generation/" + std::to_string(generation);
 }
 
 configuration_store::current_head configuration_store::ReadHead() {
-  const platform_reply answer =
+  const platform_reply reply =
       platform_.Read(std::string(kConfigurationHeadKey));
-  if (answer.status == platform_status::kAbsent) {
+  if (reply.status == platform_status::kAbsent) {
     return {};
   }
-  if (answer.status != platform_status::kOk) {
+  if (reply.status != platform_status::kOk) {
     throw store_error("the platform does not answer");
   }
   try {
-    return {.head = DecodeConfigurationHead(answer.value),
-            .revision = answer.revision,
-            .bytes = answer.value};
+    return {.head = DecodeConfigurationHead(reply.value),
+            .revision = reply.revision,
+            .bytes = reply.value};
   } catch (const record_error& error) {
     throw store_error(error.what());
   }
@@ -37,12 +37,12 @@
 configuration configuration_store::ReadChunks(const configuration_head& head) {
   std::vector<configuration> fragments;
   for (const std::string& hash : head.chunk_hashes) {
-    const platform_reply answer = platform_.Read(ConfigurationChunkKey(hash));
-    if (answer.status != platform_status::kOk) {
+    const platform_reply reply = platform_.Read(ConfigurationChunkKey(hash));
+    if (reply.status != platform_status::kOk) {
       throw store_error("cannot read chunk " + hash + " of generation " +
                         std::to_string(head.generation));
     }
-    fragments.push_back(ParseFragment(answer.value, "chunk " + hash));
+    fragments.push_back(ParseFragment(reply.value, "chunk " + hash));
   }
   std::vector<const configuration*> pointers;
   pointers.reserve(fragments.size());
@@ -67,22 +67,22 @@
   if (generation == 0) {
     return {};
   }
-  const platform_reply answer = platform_.Read(GenerationKey(generation));
-  if (answer.status != platform_status::kOk) {
+  const platform_reply reply = platform_.Read(GenerationKey(generation));
+  if (reply.status != platform_status::kOk) {
     throw store_error("generation " + std::to_string(generation) +
-                      " is not kept");
+                      " is not stored");
   }
   return {.generation = generation,
-          .config = ReadChunks(DecodeConfigurationHead(answer.value))};
+          .config = ReadChunks(DecodeConfigurationHead(reply.value))};
 }
 
 void configuration_store::WriteOnce(const std::string& key,
                                     const std::string& value) {
-  // The value is determined by the key, so a lost answer does no harm: it is
-  // written again, and a conflict means that it is there.
-  for (int attempt = 0; attempt < kSubmitAttempts; ++attempt) {
-    const platform_reply answer = platform_.CompareAndSwap(key, value, 0);
-    if (answer.status != platform_status::kNoAnswer) {
+  // The key determines the value, so a lost reply is harmless: the write is
+  // retried, and a conflict means that the value is already stored.
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
+    const platform_reply reply = platform_.CompareAndSwap(key, value, 0);
+    if (reply.status != platform_status::kNoAnswer) {
       return;
     }
   }
@@ -109,9 +109,9 @@
   }
   for (generation_number generation = first;
        generation < current.head.generation; ++generation) {
-    const platform_reply answer = platform_.Read(GenerationKey(generation));
-    if (answer.status == platform_status::kOk &&
-        DecodeConfigurationHead(answer.value).submission == submission) {
+    const platform_reply reply = platform_.Read(GenerationKey(generation));
+    if (reply.status == platform_status::kOk &&
+        DecodeConfigurationHead(reply.value).submission == submission) {
       return generation;
     }
   }
@@ -135,19 +135,19 @@
     WriteOnce(ConfigurationChunkKey(next.chunk_hashes.back()), chunk);
   }
   if (base != 0) {
-    // Kept so that a stale submission can be compared with its base.
+    // Stored so that a stale submission can be compared with its base.
     WriteOnce(GenerationKey(base), current.bytes);
   }
-  for (int attempt = 0; attempt < kSubmitAttempts; ++attempt) {
-    const platform_reply answer = platform_.CompareAndSwap(
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
+    const platform_reply reply = platform_.CompareAndSwap(
         std::string(kConfigurationHeadKey), EncodeConfigurationHead(next),
         current.revision);
-    if (answer.status == platform_status::kOk) {
+    if (reply.status == platform_status::kOk) {
       return {.result = submission_result::kAccepted,
               .generation = next.generation};
     }
-    if (answer.status == platform_status::kNoAnswer) {
-      // It may have taken effect. The same write again settles it: either it
+    if (reply.status == platform_status::kNoAnswer) {
+      // The write may have taken effect. Retrying it resolves this: either it
       // is accepted now, or the conflict shows whose submission is in force.
       continue;
     }
