--- a/include/cuminswitch/Records/configuration_head.h
+++ b/include/cuminswitch/Records/configuration_head.h
@@ -1,5 +1,6 @@
 /// \file
-/// The record whose compare-and-swap accepts a configuration.
+/// Head record of the configuration. A configuration is accepted when a
+/// compare-and-swap replaces this record.
 #ifndef CUMINSWITCH_RECORDS_CONFIGURATION_HEAD_H_
 #define CUMINSWITCH_RECORDS_CONFIGURATION_HEAD_H_
 
@@ -11,10 +12,10 @@
 
 namespace cuminswitch {
 
-/// Names the accepted configuration by the content hashes of its chunks.
+/// Identifies the accepted configuration by the content hashes of its chunks.
 struct configuration_head {
   generation_number generation = 0;
-  /// Chosen by the submitter, so that one whose answer was lost can tell
+  /// Identifier chosen by the submitter, so that it can tell after a lost reply
   /// whether its own write took effect.
   std::string submission;
   /// In document order.
--- a/include/cuminswitch/Records/record_error.h
+++ b/include/cuminswitch/Records/record_error.h
@@ -1,5 +1,5 @@
 /// \file
-/// The error for bytes that are not the record they should be.
+/// The error for a malformed record.
 #ifndef CUMINSWITCH_RECORDS_RECORD_ERROR_H_
 #define CUMINSWITCH_RECORDS_RECORD_ERROR_H_
 
@@ -7,7 +7,7 @@
 
 namespace cuminswitch {
 
-/// Thrown by the decoders; the message names the record.
+/// Thrown by the record decoders; the message names the type of record.
 class record_error : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/include/cuminswitch/Records/shard_record.h
+++ b/include/cuminswitch/Records/shard_record.h
@@ -1,5 +1,5 @@
 /// \file
-/// The journal of one idempotency-key shard, as the platform holds it.
+/// The journal of one idempotency-key shard, as stored on the platform.
 #ifndef CUMINSWITCH_RECORDS_SHARD_RECORD_H_
 #define CUMINSWITCH_RECORDS_SHARD_RECORD_H_
 
@@ -20,10 +20,10 @@
   hash128 request_digest;
 };
 
-/// Who owns a shard, and every start that may still be repeated.
+/// The owner of a shard, and each key whose request may still be repeated.
 struct shard_record {
   epoch_number epoch = 0;
-  /// Empty when the shard was handed back.
+  /// Empty when the owner released the shard.
   std::string owner_host;
   uint64_t owner_incarnation = 0;
   /// Keys issued at or before this Unix second are no longer in `entries`
