--- a/include/cuminswitch/Wire/peer_codec.h
+++ b/include/cuminswitch/Wire/peer_codec.h
@@ -1,5 +1,5 @@
 /// \file
-/// Turns messages between daemons into frames and back.
+/// Encodes messages between daemons as frames, and decodes them.
 #ifndef CUMINSWITCH_WIRE_PEER_CODEC_H_
 #define CUMINSWITCH_WIRE_PEER_CODEC_H_
 
@@ -12,12 +12,14 @@
 
 namespace cuminswitch {
 
-/// The length that precedes each frame on a connection: 4 bytes, big-endian.
+/// Size in bytes of the big-endian length that precedes each frame on a
+/// connection.
 inline constexpr size_t kFrameHeaderSize = 4;
-/// A longer frame is refused and its connection closed.
+/// Maximum frame size in bytes. A longer frame is rejected and its connection
+/// closed.
 inline constexpr size_t kMaxFrameSize = 64UL << 20;
 
-/// Encodes \p message as a frame without its length.
+/// Encodes \p message as a frame without the length prefix.
 std::string EncodePeerMessage(const peer_message& message,
                               std::string_view credential);
 
--- a/lib/Wire/peer_codec.cc
+++ b/lib/Wire/peer_codec.cc
@@ -18,8 +18,9 @@
   Offset<void> offset;
 };
 
-/// The greatest nesting that the verifier accepts; frames nest to 4.
+/// Maximum nesting depth that the verifier accepts; valid frames nest to 4.
 constexpr size_t kMaxDepth = 16;
+/// Maximum number of tables that the verifier accepts in a frame.
 constexpr size_t kMaxTables = 1'000'000;
 
 wire::Hash128 ToWire(const hash128& value) {
@@ -51,7 +52,7 @@
   return wire::CreateRecordedAnswer(builder, value.status, type, body);
 }
 
-/// Encodes each kind of message.
+/// Visitor that encodes each type of message as the body of a frame.
 struct body_encoder {
   FlatBufferBuilder& builder;
 
@@ -178,7 +179,8 @@
   return {.address = FromWire(value->address()), .port = value->port()};
 }
 
-/// Reads an enumerator that must not exceed \p last.
+/// Converts \p value to an enumerator; throws `frame_error` if it exceeds
+/// \p last.
 template <class Enum>
 Enum EnumFromWire(uint8_t value, Enum last) {
   if (value > static_cast<uint8_t>(last)) {
--- a/unittests/Wire/peer_codec_test.cc
+++ b/unittests/Wire/peer_codec_test.cc
@@ -18,7 +18,7 @@
 }
 
 template <class Message>
-Message PassThrough(const Message& message) {
+Message RoundTrip(const Message& message) {
   const std::string frame = EncodePeerMessage(message, kCredential);
   return std::get<Message>(DecodePeerMessage(AsBytes(frame), kCredential));
 }
@@ -34,41 +34,41 @@
           .shards = {5, 6}};
 }
 
-TEST(PeerCodecTest, HeartbeatReadsBackTheSame) {
-  const heartbeat again =
-      PassThrough(heartbeat{.sequence = 1,
-                            .is_reply = true,
-                            .sender = MakeMember(),
-                            .updates = {MakeMember()},
-                            .generation = 9,
-                            .usage = {{.workspace_hash = 7, .in_flight = 8}}});
-  EXPECT_EQ(again.sequence, 1U);
-  EXPECT_TRUE(again.is_reply);
-  EXPECT_EQ(again.sender.host, "h");
-  EXPECT_EQ(again.sender.peer_address.port, 1);
-  EXPECT_EQ(again.sender.status, member_status::kLeaving);
-  EXPECT_EQ(again.sender.shards, (std::vector<shard_number>{5, 6}));
-  ASSERT_EQ(again.updates.size(), 1U);
-  EXPECT_EQ(again.generation, 9U);
-  ASSERT_EQ(again.usage.size(), 1U);
-  EXPECT_EQ(again.usage[0].in_flight, 8U);
+TEST(PeerCodecTest, HeartbeatRoundTrips) {
+  const heartbeat decoded =
+      RoundTrip(heartbeat{.sequence = 1,
+                          .is_reply = true,
+                          .sender = MakeMember(),
+                          .updates = {MakeMember()},
+                          .generation = 9,
+                          .usage = {{.workspace_hash = 7, .in_flight = 8}}});
+  EXPECT_EQ(decoded.sequence, 1U);
+  EXPECT_TRUE(decoded.is_reply);
+  EXPECT_EQ(decoded.sender.host, "h");
+  EXPECT_EQ(decoded.sender.peer_address.port, 1);
+  EXPECT_EQ(decoded.sender.status, member_status::kLeaving);
+  EXPECT_EQ(decoded.sender.shards, (std::vector<shard_number>{5, 6}));
+  ASSERT_EQ(decoded.updates.size(), 1U);
+  EXPECT_EQ(decoded.generation, 9U);
+  ASSERT_EQ(decoded.usage.size(), 1U);
+  EXPECT_EQ(decoded.usage[0].in_flight, 8U);
 }
 
-TEST(PeerCodecTest, StartMessagesReadBackTheSame) {
+TEST(PeerCodecTest, StartMessagesRoundTrip) {
   const start_request request =
-      PassThrough(start_request{.reply_to = {"127.0.0.1", 9},
-                                .host = "h",
-                                .incarnation = 2,
-                                .request = 3,
-                                .shard = 4,
-                                .key = {5, 6},
-                                .key_issued = 7,
-                                .request_digest = {8, 9}});
+      RoundTrip(start_request{.reply_to = {"127.0.0.1", 9},
+                              .host = "h",
+                              .incarnation = 2,
+                              .request = 3,
+                              .shard = 4,
+                              .key = {5, 6},
+                              .key_issued = 7,
+                              .request_digest = {8, 9}});
   EXPECT_EQ(request.key, (hash128{5, 6}));
   EXPECT_EQ(request.request_digest, (hash128{8, 9}));
   EXPECT_EQ(request.incarnation, 2U);
   EXPECT_EQ(request.shard, 4U);
-  const start_reply reply = PassThrough(
+  const start_reply reply = RoundTrip(
       start_reply{.request = 3,
                   .verdict = start_result::kAnswered,
                   .epoch = 5,
@@ -78,31 +78,30 @@
   EXPECT_EQ(reply.answer.body, std::string("a\0b", 3));
 }
 
-TEST(PeerCodecTest, RemainingMessagesReadBackTheSame) {
-  EXPECT_EQ(PassThrough(probe_request{.target = {"127.0.0.1", 5}}).target.port,
+TEST(PeerCodecTest, OtherMessagesRoundTrip) {
+  EXPECT_EQ(RoundTrip(probe_request{.target = {"127.0.0.1", 5}}).target.port,
             5);
-  EXPECT_EQ(PassThrough(probe_reply{.target = MakeMember()}).target.host, "h");
+  EXPECT_EQ(RoundTrip(probe_reply{.target = MakeMember()}).target.host, "h");
   EXPECT_EQ(
-      PassThrough(configuration_request{.held_chunks = {"x"}}).held_chunks[0],
+      RoundTrip(configuration_request{.held_chunks = {"x"}}).held_chunks[0],
       "x");
-  const configuration_reply reply = PassThrough(
+  const configuration_reply reply = RoundTrip(
       configuration_reply{.head = "head", .chunks = {{"hash", "text"}}});
   EXPECT_EQ(reply.head, "head");
   EXPECT_EQ(reply.chunks.at(0).text, "text");
-  EXPECT_EQ(PassThrough(finish_report{.result = outcome::kAnswered}).result,
+  EXPECT_EQ(RoundTrip(finish_report{.result = outcome::kAnswered}).result,
             outcome::kAnswered);
-  EXPECT_EQ(PassThrough(release_report{.host = "h", .request = 4}).request, 4U);
+  EXPECT_EQ(RoundTrip(release_report{.host = "h", .request = 4}).request, 4U);
 }
 
-TEST(PeerCodecTest, WrongCredentialIsRefused) {
+TEST(PeerCodecTest, RejectsWrongCredential) {
   const std::string frame = EncodePeerMessage(probe_request{}, "another");
   EXPECT_THROW(DecodePeerMessage(AsBytes(frame), kCredential), frame_error);
 }
 
-// Symptom: a peer's damaged frame crashes the daemon.
-// Sequence: good frames are cut and bits of them changed.
-// Cause: an unchecked offset, length or enumerator.
-TEST(PeerCodecFuzzTest, DamagedFramesAreRefusedOrRead) {
+// Guards against a crash on a corrupt frame from a peer: an unchecked offset,
+// length or enumerator in a frame that was truncated or had bytes overwritten.
+TEST(PeerCodecFuzzTest, CorruptFramesDecodeOrThrowFrameError) {
   std::mt19937_64 random(2);
   const std::vector<std::string> good = {
       EncodePeerMessage(heartbeat{.sender = MakeMember(),
