--- a/include/cuminswitch/Protocol/core_action.h
+++ b/include/cuminswitch/Protocol/core_action.h
@@ -1,6 +1,5 @@
 /// \file
-/// Everything that the decision core asks of its shell. The actions are one
-/// family and share this header.
+/// The actions that the decision core returns for its caller to execute.
 #ifndef CUMINSWITCH_PROTOCOL_CORE_ACTION_H_
 #define CUMINSWITCH_PROTOCOL_CORE_ACTION_H_
 
@@ -23,64 +22,67 @@
 
 struct configuration;
 
-/// Send the request to an upstream.
+/// Sends a request to an upstream.
 struct dispatch_attempt {
   request_id request = 0;
   attempt_id attempt = 0;
   std::string upstream;
   endpoint address;
-  /// Goes with the request to upstreams; one that checks refuses an old one.
+  /// Fencing token, sent with the request. An upstream that checks it refuses
+  /// a request with a token older than one it has seen.
   epoch_number fencing = 0;
-  /// Workspace, model, version and adapter in one hash. Engines keep the caches
-  /// of different scopes apart.
+  /// Hash of the cache pool (by default the workspace), the target, its adapter
+  /// and the weights version. Engines share no cache between scopes.
   uint64_t cache_scope = 0;
-  /// Use no kept connection: one that the upstream has closed in the meantime
-  /// would leave in doubt whether it ran the request.
+  /// Use no pooled connection: if the upstream has closed it in the meantime,
+  /// it would be unknown whether the request ran.
   bool fresh_connection = false;
-  /// The upstream's last attempt failed: only a new connection shows whether it
-  /// lives, before anything is sent.
+  /// The upstream's last attempt failed. A new connection must be opened, since
+  /// it shows whether the upstream is alive before anything is sent.
   bool after_failure = false;
-  /// The weights that the upstream is believed to have; empty for a service.
+  /// Weights version that the upstream last reported; empty for a service.
   std::string weights_version;
-  /// Another engine that should have more of the prompt's prefixes cached; the
-  /// upstream may copy them from there.
+  /// Another engine or a cache store that should have more of the prompt's
+  /// prefixes cached; the upstream may copy them from there.
   std::optional<endpoint> cache_source;
-  /// Where the upstream is to save the prefixes that it computes.
+  /// Cache store to which the upstream is to save the prefixes that it
+  /// computes.
   std::optional<endpoint> cache_sink;
-  /// The request's earlier attempts.
+  /// Number of the request's earlier attempts.
   uint32_t earlier_attempts = 0;
-  /// Retries for this target in the present window, and those allowed.
+  /// Retries for this target in the current window, and those allowed.
   uint32_t retries_used = 0;
   double retries_allowed = 0;
-  /// What decided the placement, for the log: the prompt's tokens, those that
-  /// are believed to be cached there, and the estimated wait in its queue.
+  /// Inputs of the placement decision, for the log: the prompt's tokens, those
+  /// that are expected to be cached at the upstream, and the estimated wait in
+  /// its queue (`expected_queue`).
   uint32_t prompt_tokens = 0;
   double expected_cached_tokens = 0;
-  /// Where the shared prefix is to come from, or why it is read again.
+  /// Where the shared prefix is to come from, or why it is computed again.
   std::string_view prefix_origin;
   duration expected_queue{0};
-  /// How long requests like this one wait for their first byte of late.
+  /// Moving average of the time to first byte of requests to this target.
   duration mean_first_byte{0};
 };
 
-/// Stop an attempt; nothing more of it goes to the caller.
+/// Stops an attempt; nothing more of its response goes to the caller.
 struct cancel_attempt {
   attempt_id attempt = 0;
 };
 
-/// The request's final answer, given by the daemon and not by an upstream.
+/// The request's final response, made by the daemon instead of an upstream.
 struct local_response {
   request_id request = 0;
   outcome result = outcome::kNotRun;
   uint32_t status = 0;
-  /// 0 when coming back makes no sense.
+  /// 0 if a retry is pointless.
   uint32_t retry_after_seconds = 0;
-  /// A finer `retry_after_seconds`, for callers that understand fractions.
+  /// The same with sub-second precision, for callers that understand it.
   duration retry_after{0};
   std::string message;
-  /// The earlier answer to the same key, when `result` is `kAnswered`.
+  /// The recorded response to the same key, if `result` is `kAnswered`.
   recorded_response recorded;
-  /// What a refusal for lateness was decided from.
+  /// The wait estimate behind a refusal because the response would be late.
   std::optional<expected_wait> wait;
 };
 
@@ -89,24 +91,25 @@
   peer_message message;
 };
 
-/// Ask an upstream for its load report.
+/// Requests a load report from an upstream.
 struct probe_upstream {
   std::string upstream;
   endpoint address;
 };
 
-/// A configuration came into force in this daemon.
+/// This daemon has put a configuration into force.
 struct configuration_adopted {
   generation_number generation = 0;
   std::shared_ptr<const configuration> config;
 };
 
-/// The members that callers may be told of changed.
+/// The members that are advertised to callers have changed.
 struct members_changed {
   std::vector<member> members;
 };
 
-/// Every request has ended and the shards are handed over.
+/// Every request has ended and the shards are released, or the time allowed
+/// for their release is over: the daemon may exit.
 struct stop_ready {};
 
 using core_action = std::variant<dispatch_attempt,
--- a/include/cuminswitch/Protocol/core_event.h
+++ b/include/cuminswitch/Protocol/core_event.h
@@ -1,6 +1,5 @@
 /// \file
-/// Everything that the decision core is told. The events are one family and
-/// share this header.
+/// The events that the decision core handles.
 #ifndef CUMINSWITCH_PROTOCOL_CORE_EVENT_H_
 #define CUMINSWITCH_PROTOCOL_CORE_EVENT_H_
 
@@ -20,34 +19,35 @@
 namespace cuminswitch {
 
 /// The prompt up to the end of one level (preamble, contract, order): a hash
-/// over all of it, and its length.
+/// over the whole prefix, and its length in tokens.
 struct prefix_level {
   uint64_t hash = 0;
   uint32_t tokens = 0;
 };
 
-/// Stands for a version of a model's weights where its name is too long.
+/// Compact identifier of a model's weights version, for use where the version's
+/// name would be too long.
 using weights_tag = uint32_t;
 inline constexpr weights_tag kNoWeights = 0;
 
 /// Whether a request may reach more than one upstream that runs it.
 enum class repeat_rule : uint8_t {
-  /// As the configuration says of its target.
+  /// As configured for the target.
   kByTarget,
   /// It may run any number of times.
   kRepeatable,
-  /// It runs at most once; only an attempt that is known not to have run is
-  /// placed again.
+  /// It runs at most once; it is retried only if the attempt is known not to
+  /// have run.
   kOnce,
 };
 
-/// A caller's request has been read whole and its credential checked.
+/// A caller's request was received completely and its credential checked.
 struct request_arrived {
   request_id request = 0;
   std::string workspace;
-  /// The model or service asked for.
+  /// The requested model or service.
   std::string target;
-  /// Outermost level first.
+  /// The prompt's prefixes, outermost level first.
   std::vector<prefix_level> levels;
   uint32_t prompt_tokens = 0;
   /// Empty when the request may be repeated.
@@ -56,31 +56,33 @@
   uint64_t key_issued = 0;
   /// The caller says that it has never sent this key before.
   bool is_first_attempt = false;
-  /// Of what is the same when its caller sends it again; zero for not known.
+  /// Digest of the parts that stay the same if the caller repeats the request;
+  /// zero if unknown.
   hash128 request_digest;
-  /// How long the caller will wait for the first byte.
+  /// How long the caller waits for the first byte.
   duration time_limit{0};
-  /// Until when a first byte is worth everything; 0 for not known.
+  /// Time to first byte, from the arrival, up to which the response has its
+  /// full value; 0 if unknown.
   duration target_latency{0};
-  /// After this long without a byte the caller leaves; 0 for not known.
+  /// Time without a byte after which the caller disconnects; 0 if unknown.
   duration caller_idle_timeout{0};
   repeat_rule repeats = repeat_rule::kByTarget;
-  /// Upstreams that may run it; 0 for no limit.
+  /// Maximum number of upstreams that may run it; 0 for no limit.
   uint32_t max_runs = 0;
-  /// Who shares its cached prefixes; its workspace where this is empty.
+  /// Pool of requests that share cached prefixes; if empty, the workspace.
   std::string cache_pool;
-  /// In place of its workspace's.
+  /// Overrides the workspace's priority.
   std::optional<priority_class> priority;
 };
 
-/// An upstream told its load along with an answer.
+/// An upstream's load, reported along with a response.
 struct upstream_load {
   std::string upstream;
   uint32_t running = 0;
   uint32_t waiting = 0;
 };
 
-/// Prompt tokens that requests wait for at one upstream.
+/// Prompt tokens queued at one upstream.
 struct upstream_backlog {
   /// Hash of the upstream's name.
   uint64_t upstream = 0;
@@ -89,7 +91,8 @@
                          const upstream_backlog&) = default;
 };
 
-/// A shared prefix that was placed at an upstream, which has it from then on.
+/// A shared prefix that was placed at an upstream, which caches it from then
+/// on.
 struct placed_prefix {
   uint64_t prefix = 0;
   /// Hash of the upstream's name.
@@ -97,36 +100,38 @@
   /// The upstream's incarnation for which it was placed.
   uint64_t incarnation = 0;
   /// Tag of the weights under which the upstream saves it to the cache store;
-  /// `kNoWeights` where it does not.
+  /// `kNoWeights` if it does not save it.
   weights_tag saved_weights = kNoWeights;
 };
 
-/// A daemon's traffic of late, older requests counting less.
+/// A daemon's recent traffic, as decaying counts.
 struct prompt_mix {
   double requests = 0;
-  /// Of all prompts.
+  /// Sum over all prompts.
   double prompt_tokens = 0;
-  /// Tokens that engines were to read for short and for long prompts.
+  /// Tokens that engines had to prefill for short and for long prompts.
   double short_prefill = 0;
   double long_prefill = 0;
-  /// Seconds for which short prompts' answers held a slot of an engine.
+  /// Seconds for which requests with short prompts occupied a slot of an
+  /// engine.
   double short_held = 0;
-  /// Over how many seconds all of this was counted.
+  /// Number of seconds over which all of this was counted.
   double seconds = 0;
-  /// Whether engines are kept for short prompts, as this daemon sees it.
+  /// Whether this daemon reserves engines for short prompts.
   bool reserves_engines = false;
 };
 
-/// What a daemon tells the others of its placements.
+/// A peer's report of its traffic and placements.
 struct peer_placements {
   std::string peer;
   prompt_mix mix;
   std::vector<upstream_backlog> backlogs;
-  /// Placed since it last told.
+  /// Placed since the peer's previous report.
   std::vector<placed_prefix> prefixes;
 };
 
-/// Weights are being changed at an upstream, which runs nothing meanwhile.
+/// An upstream's weights are being changed, or no longer are. It runs no
+/// requests during the change.
 struct upstream_changing {
   std::string upstream;
   bool is_changing = false;
@@ -137,7 +142,7 @@
   request_id request = 0;
 };
 
-/// The first byte of an attempt's answer came from the upstream.
+/// The first byte of an attempt's response arrived from the upstream.
 struct attempt_first_byte {
   attempt_id attempt = 0;
 };
@@ -146,22 +151,24 @@
 struct attempt_ended {
   attempt_id attempt = 0;
   outcome result = outcome::kUnknown;
-  /// The upstream said that it is too busy, and did not run it.
+  /// The upstream refused the request because it is too busy, and did not run
+  /// it.
   bool refused_busy = false;
-  /// The upstream could not be reached at all.
+  /// No connection to the upstream could be established.
   bool unreachable = false;
-  /// The upstream ran it and answered with a failure of its own. That happens
-  /// at sound upstreams too, so only their share counts against it.
+  /// The upstream ran it and responded with an error. Healthy upstreams do so
+  /// too, so only the share of such responses counts against an upstream.
   bool failed_in_run = false;
-  /// The connection ended before the answer was whole, as it does where the
-  /// upstream crashes.
+  /// The connection was lost before the response was complete, as happens when
+  /// the upstream crashes.
   bool broke_off = false;
-  /// Whether the caller has been sent any of this attempt's answer.
+  /// Whether any part of this attempt's response was sent to the caller.
   bool answer_begun = false;
-  /// Exact counts from the answer; 0 when it carried none.
+  /// Exact token counts from the response; 0 if it carried none.
   uint32_t prompt_tokens = 0;
   uint32_t cached_tokens = 0;
-  /// The answer, where it is whole, short enough and may be asked for again.
+  /// The response to record, if it is complete, short enough and the request
+  /// may be repeated by its caller.
   recorded_response answer;
 };
 
@@ -169,18 +176,18 @@
 struct loaded_model {
   std::string name;
   std::string version;
-  /// Of the version; set by who takes the report in.
+  /// Tag of the version; set by the receiver of the report.
   weights_tag tag = kNoWeights;
 };
 
-/// The answer to a `probe_upstream`. Reports lag: `age` says by how much.
+/// Result of a `probe_upstream`. Reports lag by `age`.
 struct upstream_report {
   std::string upstream;
   bool reachable = false;
-  /// Tells apart the caches that the upstream has had: its starts, and its
-  /// weights where new ones discard the cache.
+  /// Identifies the contents of the upstream's cache: changes with each start,
+  /// and with new weights if these discard the cache.
   uint64_t incarnation = 0;
-  /// Tells apart its starts alone; 0 where that is not known.
+  /// Identifies the upstream's start; 0 if unknown.
   uint64_t started = 0;
   duration age{0};
   uint32_t running = 0;
@@ -194,10 +201,10 @@
   peer_message message;
 };
 
-/// Time has passed. Sent when the core's `NextWake()` is reached.
+/// Sent when the core's `NextWake()` is reached.
 struct tick {};
 
-/// The daemon is to stop gracefully.
+/// The daemon was told to stop gracefully.
 struct stop_requested {};
 
 using core_event = std::variant<request_arrived,
--- a/include/cuminswitch/Protocol/crash_report.h
+++ b/include/cuminswitch/Protocol/crash_report.h
@@ -1,6 +1,6 @@
 /// \file
-/// Signs that a request crashes the upstreams that run it. The structs are one
-/// family and share this header.
+/// Reports by which daemons detect requests that crash the upstreams that run
+/// them.
 #ifndef CUMINSWITCH_PROTOCOL_CRASH_REPORT_H_
 #define CUMINSWITCH_PROTOCOL_CRASH_REPORT_H_
 
@@ -13,56 +13,58 @@
 
 namespace cuminswitch {
 
-/// A run broke off at an upstream, as it does where the upstream crashes.
+/// The connection to an upstream was lost while it executed a request, as
+/// happens when the upstream crashes.
 struct crash_report {
   /// Digest of the request.
   hash128 request;
-  /// Stands for the one start of the upstream.
+  /// Hash of the upstream's name and of its start, so that it identifies one
+  /// run of the upstream's process.
   uint64_t upstream = 0;
-  /// Since it broke off.
+  /// Time since the connection was lost.
   duration age{0};
-  /// From when it was sent until then.
+  /// Time from when the request was sent until the connection was lost.
   duration took{0};
 };
 
-/// A run of a request came to its end.
+/// An upstream completed the execution of a request.
 struct completion_report {
   hash128 request;
-  /// Since it was sent.
+  /// Time since the request was sent.
   duration age{0};
 };
 
-/// What daemons tell one another of requests that may crash upstreams.
+/// Exchanged between daemons about requests that may crash upstreams.
 struct quarantine_update {
   std::vector<crash_report> crashes;
   std::vector<completion_report> completions;
   bool IsEmpty() const { return crashes.empty() && completions.empty(); }
 };
 
-/// A request that is kept away from upstreams, and for how long still.
+/// A quarantined request, which is sent to no upstream until the time is over.
 struct quarantine_record {
   hash128 request;
   duration time_left{0};
 };
 
-/// Where a daemon knows a crash from.
+/// How a daemon learnt of a crash.
 enum class crash_source : uint8_t { kOwn, kPeer, kStore };
 
-/// What is believed of a request changed.
+/// The quarantine state of a request changed.
 struct quarantine_event {
   enum class kind : uint8_t {
-    /// One more upstream crashed under it.
+    /// One more upstream crashed while executing it.
     kSuspected,
-    /// It is not sent to any upstream from now on.
+    /// It is sent to no upstream from now on.
     kQuarantined,
-    /// An upstream turned out to live, or the request ran to its end.
+    /// An upstream turned out to be alive, or an execution was completed.
     kCleared,
   };
   kind what = kind::kSuspected;
   hash128 request;
-  /// Upstreams that are taken to have crashed under it.
+  /// Number of upstreams that are counted as crashed by it.
   size_t crashes = 0;
-  /// Of the crash; of no meaning where it is cleared.
+  /// Source of the crash; meaningless for `kCleared`.
   crash_source source = crash_source::kOwn;
 };
 
--- a/include/cuminswitch/Protocol/expected_wait.h
+++ b/include/cuminswitch/Protocol/expected_wait.h
@@ -1,5 +1,5 @@
 /// \file
-/// Why a request is expected to be served when it is.
+/// The estimated time to first byte of a request, by component.
 #ifndef CUMINSWITCH_PROTOCOL_EXPECTED_WAIT_H_
 #define CUMINSWITCH_PROTOCOL_EXPECTED_WAIT_H_
 
@@ -9,29 +9,29 @@
 
 namespace cuminswitch {
 
-/// The parts of a request's wait for its first byte at the upstream that suits
-/// it best. A refusal says with it what it was decided from, so that one can
-/// tell later whether it was right.
+/// The components of a request's wait for its first byte at the best upstream.
+/// They are logged with a refusal, so that one can check later whether the
+/// refusal was right.
 struct expected_wait {
   std::string upstream;
-  /// Since the request arrived.
+  /// Time since the request arrived.
   duration waited{0};
-  /// Behind those that wait in this daemon and are as urgent.
+  /// Wait behind requests queued in this daemon that are at least as urgent.
   duration local_queue{0};
-  /// Until the upstream has room.
+  /// Wait until the upstream has capacity.
   duration capacity{0};
-  /// Behind the prompts that the upstream has yet to read.
+  /// Wait behind the prompts that the upstream has yet to prefill.
   duration upstream_queue{0};
-  /// While the upstream reads the request's own prompt.
+  /// Prefill time of the request's own prompt.
   duration prefill{0};
-  /// By how much waits were longer than expected of late.
+  /// Mean of actual minus expected wait of recent requests.
   duration prediction_error{0};
-  /// Age of the oldest that peers told of their requests and that counts.
+  /// Age of the oldest backlog report of a peer that is included.
   duration peer_data_age{0};
-  /// By when the first byte should come, from the arrival.
+  /// Target time to first byte, from the arrival.
   duration target{0};
 
-  /// From now to the first byte.
+  /// Expected time from now to the first byte.
   duration Remaining() const {
     return local_queue + capacity + upstream_queue + prefill + prediction_error;
   }
--- a/include/cuminswitch/Protocol/ids.h
+++ b/include/cuminswitch/Protocol/ids.h
@@ -1,5 +1,5 @@
 /// \file
-/// Identifiers that events, actions and messages share.
+/// Identifier types shared by events, actions and messages.
 #ifndef CUMINSWITCH_PROTOCOL_IDS_H_
 #define CUMINSWITCH_PROTOCOL_IDS_H_
 
@@ -9,17 +9,19 @@
 
 namespace cuminswitch {
 
-/// One caller's request within one daemon.
+/// Identifies a caller's request within one daemon.
 using request_id = uint64_t;
-/// One attempt at a request; a late answer carries an old one and is dropped.
+/// Identifies one attempt at a request. A late response carries an old one and
+/// is dropped.
 using attempt_id = uint64_t;
-/// Number of an accepted configuration; only ever grows.
+/// Number of an accepted configuration; increases monotonically.
 using generation_number = uint64_t;
-/// A revision of a value in the platform's service; 0 means "absent".
+/// Revision of a value in the platform's service; 0 if the value is absent.
 using revision_number = uint64_t;
-/// One of the fixed number of parts of the idempotency-key space.
+/// Number of a shard of the idempotency-key space.
 using shard_number = uint16_t;
-/// Ownership number of a shard; a greater one deposes a smaller.
+/// Ownership epoch of a shard; the owner with the greater one replaces an
+/// earlier owner.
 using epoch_number = uint64_t;
 
 /// Hash of a workspace and an idempotency key.
--- a/include/cuminswitch/Protocol/member.h
+++ b/include/cuminswitch/Protocol/member.h
@@ -1,5 +1,5 @@
 /// \file
-/// What daemons tell each other of one daemon.
+/// Membership state of one daemon, as exchanged between daemons.
 #ifndef CUMINSWITCH_PROTOCOL_MEMBER_H_
 #define CUMINSWITCH_PROTOCOL_MEMBER_H_
 
@@ -13,33 +13,34 @@
 
 namespace cuminswitch {
 
-/// Ordered so that, for one incarnation and version, the greater one wins.
+/// Ordered by precedence: for the same incarnation and version, the greater
+/// status wins.
 enum class member_status : uint8_t { kAlive, kSuspect, kLeaving, kDead };
 
 std::string_view ToString(member_status value);
 
-/// One daemon as others see it.
+/// State of one daemon as known to another.
 struct member {
   std::string host;
-  /// Where other daemons reach it.
+  /// Address for other daemons.
   endpoint peer_address;
-  /// Where callers reach it.
+  /// Address for callers.
   endpoint caller_address;
   std::string failure_domain;
-  /// Differs for each start of the daemon, and grows.
+  /// Increases with each start of the daemon.
   uint64_t incarnation = 0;
-  /// Raised by the daemon itself whenever what it says of itself changes.
+  /// Incremented by the daemon itself whenever its advertised state changes.
   uint32_t version = 0;
   member_status status = member_status::kAlive;
   /// The idempotency-key shards that it owns.
   std::vector<shard_number> shards;
 
-  /// Whether this statement replaces \p other about the same host.
+  /// Whether this state replaces \p other of the same host.
   bool Supersedes(const member& other) const {
     return std::tie(incarnation, version, status) >
            std::tie(other.incarnation, other.version, other.status);
   }
-  /// Whether it may be given new work.
+  /// Whether new requests may be assigned to it.
   bool IsServing() const {
     return status == member_status::kAlive || status == member_status::kSuspect;
   }
--- a/include/cuminswitch/Protocol/peer_message.h
+++ b/include/cuminswitch/Protocol/peer_message.h
@@ -1,6 +1,5 @@
 /// \file
-/// The messages between daemons. They are one family and share this header;
-/// the Wire package turns them into bytes and back.
+/// The messages between daemons. The Wire package serializes them.
 #ifndef CUMINSWITCH_PROTOCOL_PEER_MESSAGE_H_
 #define CUMINSWITCH_PROTOCOL_PEER_MESSAGE_H_
 
@@ -15,13 +14,14 @@
 
 namespace cuminswitch {
 
-/// A workspace's requests in flight at the sender.
+/// Number of a workspace's requests in flight at the sender.
 struct workspace_use {
   uint64_t workspace_hash = 0;
   uint32_t in_flight = 0;
 };
 
-/// Probe of a member, or the reply to one; carries news either way.
+/// Probe of a member, or the reply to one. Either carries member updates, the
+/// configuration generation and the use of workspaces.
 struct heartbeat {
   uint64_t sequence = 0;
   bool is_reply = false;
@@ -38,37 +38,38 @@
   endpoint target;
 };
 
-/// Tells who asked for a probe that its target lives.
+/// Tells the sender of a `probe_request` that the target is alive.
 struct probe_reply {
   uint64_t sequence = 0;
   member target;
 };
 
-/// Asks for the configuration in force at the receiver.
+/// Requests the configuration in force at the receiver.
 struct configuration_request {
   endpoint reply_to;
-  /// Content hashes of the chunks the sender holds already.
+  /// Content hashes of the chunks that the sender already has.
   std::vector<std::string> held_chunks;
 };
 
-/// One chunk of the canonical document under its content hash.
+/// One chunk of the canonical configuration document, with its content hash.
 struct configuration_chunk {
   std::string hash;
   std::string text;
 };
 
-/// A head record as stored in the platform, with the chunks that were not
-/// held by the one who asked.
+/// A head record as stored in the platform, with the chunks that the requester
+/// does not have.
 struct configuration_reply {
   std::string head;
   std::vector<configuration_chunk> chunks;
 };
 
-/// Asks a shard's owner for leave to start a request that may run only once.
+/// Asks a shard's owner for permission to start a request that may run at most
+/// once.
 struct start_request {
   endpoint reply_to;
-  /// Who asks. The incarnation tells a restarted asker's requests from its
-  /// earlier ones.
+  /// The requesting daemon. Its incarnation distinguishes requests after a
+  /// restart from earlier ones, since request numbers begin anew.
   std::string host;
   uint64_t incarnation = 0;
   request_id request = 0;
@@ -76,19 +77,20 @@
   key_hash key;
   /// When the caller created the key, in Unix seconds.
   uint64_t key_issued = 0;
-  /// Digest of the request; a repeat must be the same request.
+  /// Digest of the request; a repeated request must have the same one.
   hash128 request_digest;
 };
 
-/// What a shard's owner says to a `start_request`.
+/// Result of a `start_request`, decided by the shard's owner.
 enum class start_result : uint8_t {
-  /// The start is journaled; the asker alone may run it, once.
+  /// The start is journaled; only the requesting daemon may run it, once.
   kGranted,
-  /// Nothing ran and nothing was journaled for this request.
+  /// Nothing ran, and nothing was journaled for this request.
   kRefused,
-  /// An earlier request with this key was started; its end is not known here.
+  /// An earlier request with this key was started; the owner does not know how
+  /// it ended.
   kStarted,
-  /// An earlier request with this key was answered; the answer is attached.
+  /// An earlier request with this key was answered; its response is attached.
   kAnswered,
   /// The key was used for another request.
   kMismatch,
@@ -98,7 +100,8 @@
   kNotOwner,
 };
 
-/// An answer kept so that a repeat of its key gets the same one.
+/// A response that is recorded so that a repeated request with the same key
+/// gets the same one.
 struct recorded_response {
   uint32_t status = 0;
   std::string content_type;
@@ -113,7 +116,7 @@
   recorded_response answer;
 };
 
-/// Tells a shard's owner how a started request ended.
+/// Reports to a shard's owner how a started request ended.
 struct finish_report {
   shard_number shard = 0;
   key_hash key;
@@ -121,7 +124,7 @@
   recorded_response answer;
 };
 
-/// Gives a grant back unused: nothing ran, and nothing will under it.
+/// Releases an unused grant: nothing ran, and nothing will run under it.
 struct release_report {
   shard_number shard = 0;
   key_hash key;
--- a/include/cuminswitch/Protocol/platform_call.h
+++ b/include/cuminswitch/Protocol/platform_call.h
@@ -1,5 +1,5 @@
 /// \file
-/// Calls on the platform's key-value service, and their answers.
+/// Calls to the platform's key-value service, and their replies.
 #ifndef CUMINSWITCH_PROTOCOL_PLATFORM_CALL_H_
 #define CUMINSWITCH_PROTOCOL_PLATFORM_CALL_H_
 
@@ -12,7 +12,7 @@
 
 namespace cuminswitch {
 
-/// The part of the core that made a call, to which its answer goes.
+/// The component of the core that made a call and receives the reply.
 enum class call_owner : uint8_t {
   kConfigurationHead,
   kConfigurationChunk,
@@ -20,7 +20,7 @@
   kHostList,
 };
 
-/// Names one call; comes back with its answer.
+/// Identifies one call; returned with the reply.
 struct call_tag {
   call_owner owner = call_owner::kConfigurationHead;
   /// The shard, where the owner is `kShard`.
@@ -32,9 +32,10 @@
   kRead,
   /// Writes if the value's revision is `expected`.
   kCompareAndSwap,
-  /// Answers when the revision differs from `expected`, or after a while.
+  /// Long poll: completes when the revision differs from `expected`, or on a
+  /// time-out.
   kWatch,
-  /// Reads the lagging list of hosts.
+  /// Reads the platform's list of hosts, which lags.
   kListHosts,
 };
 
@@ -51,11 +52,11 @@
   kAbsent,
   /// A compare-and-swap found another revision; nothing was written.
   kConflict,
-  /// No answer came: a write may or may not have taken effect.
+  /// No reply was received: a write may or may not have taken effect.
   kNoAnswer,
 };
 
-/// One line of the platform's lagging list.
+/// One entry of the platform's list of hosts, which lags.
 struct listed_host {
   std::string host;
   endpoint peer_address;
--- a/include/cuminswitch/Protocol/quota_message.h
+++ b/include/cuminswitch/Protocol/quota_message.h
@@ -1,7 +1,6 @@
 /// \file
-/// What daemons tell one another to keep to a quota over the fleet. Its subject
-/// is whatever it is about: a workspace that may use so much. The structs are
-/// one family and share this header.
+/// Messages between daemons that enforce a quota over the whole fleet. The
+/// subject of a quota is what the quota is for: a workspace or an upstream.
 #ifndef CUMINSWITCH_PROTOCOL_QUOTA_MESSAGE_H_
 #define CUMINSWITCH_PROTOCOL_QUOTA_MESSAGE_H_
 
@@ -14,78 +13,80 @@
 
 namespace cuminswitch {
 
-/// What a quota is about.
+/// The kind of a quota's subject.
 enum class quota_kind : uint8_t {
-  /// What a workspace may use.
+  /// Limits what a workspace may use.
   kWorkspace,
-  /// What an upstream in need takes.
+  /// Limits what is sent to an upstream that advertises a rate limit.
   kUpstream,
 };
 
-/// What a subject may use over the whole fleet, in units of its quota.
+/// The limit of a subject over the whole fleet, in units of its quota.
 struct quota_limit {
-  /// Units a second; 0 for no limit.
+  /// Units per second; 0 for no limit.
   double rate = 0;
   /// Units that may be used at once beyond the rate.
   double burst = 0;
-  /// Of the configuration that says so; the greatest one known counts.
+  /// Version of the configuration that sets the limit; the greatest known
+  /// version is in force.
   uint64_t version = 0;
 
   bool IsSet() const { return rate > 0; }
 };
 
-/// What an owner had left for a subject when it was last heard.
+/// The units that an owner had left for a subject when it last reported them.
 struct quota_level {
-  /// Tells owners apart, and the starts of one.
+  /// Identifies the owner and its incarnation.
   uint64_t owner = 0;
-  /// Units; below 0 where more was used than is there.
+  /// Units left; negative if more were used than available.
   double level = 0;
-  /// Time since it was so.
+  /// Age of the level.
   duration age{0};
 };
 
-/// Asks a subject's owner whether a request may be sent on.
+/// Asks a subject's owner whether a request may be sent to an upstream.
 struct quota_query {
-  /// Where the answer goes.
+  /// Address for the reply.
   endpoint from;
-  /// Names the question at its sender; 0 where no answer is wanted, because
-  /// the use is only reported.
+  /// Identifies the query at its sender; 0 if no reply is wanted because the
+  /// query only reports use.
   uint64_t ticket = 0;
   quota_kind kind = quota_kind::kWorkspace;
   /// Hash of the subject's name.
   uint64_t subject = 0;
   quota_limit limit;
-  /// Since the limit was heard of, where that tells which one is newer.
+  /// Time since the limit was received; for limits whose age decides which one
+  /// is newer.
   duration limit_age{0};
-  /// Units that the request takes; below 0 where they are given back.
+  /// Units that the request uses; negative if units are released.
   double weight = 0;
-  /// Of what the request is, so that its repeat is known for it.
+  /// Digest of the request, by which a repeated request is recognised.
   uint64_t digest = 0;
-  /// The longest wait after which its caller would come back.
+  /// The longest time that the caller would wait before it retries.
   duration max_wait{0};
-  /// Whoever gets it decides; otherwise it may hand it on to whom it takes for
-  /// the owner.
+  /// The receiver must decide. Otherwise it may forward the query to the daemon
+  /// that it considers the owner.
   bool is_final = false;
-  /// What the sender last heard of the subject.
+  /// The last level of the subject that the sender received.
   std::optional<quota_level> last_level;
 };
 
-/// Answers a `quota_query`.
+/// Reply to a `quota_query`.
 struct quota_reply {
   quota_kind kind = quota_kind::kWorkspace;
   uint64_t ticket = 0;
   bool is_admitted = false;
-  /// When a refused request can be taken.
+  /// Time until a refused request can be admitted.
   duration retry_after{0};
-  /// Tells the owner and its start.
+  /// Identifies the owner and its incarnation.
   uint64_t owner = 0;
-  /// What is left.
+  /// Units left at the owner.
   double level = 0;
-  /// Of the limit, what the owner gives out.
+  /// Share of the limit that the owner grants, from 0 to 1.
   double share = 1;
 };
 
-/// A question, or an answer, for another daemon.
+/// A query or a reply that is to be sent to another daemon.
 struct outgoing_quota_message {
   endpoint to;
   std::variant<quota_query, quota_reply> message;
--- a/include/cuminswitch/Protocol/send_permit.h
+++ b/include/cuminswitch/Protocol/send_permit.h
@@ -1,6 +1,5 @@
 /// \file
-/// Leave to send a request to an upstream that takes only so many a second. The
-/// structs are one family and share this header.
+/// Permits to send a request to an upstream that limits requests per second.
 #ifndef CUMINSWITCH_PROTOCOL_SEND_PERMIT_H_
 #define CUMINSWITCH_PROTOCOL_SEND_PERMIT_H_
 
@@ -11,29 +10,30 @@
 
 namespace cuminswitch {
 
-/// May the request be sent to the upstream, within what the upstream takes from
-/// all daemons together?
+/// Asks whether a request may be sent to an upstream within the rate limit that
+/// the upstream sets for all daemons together.
 struct permit_request {
   request_id request = 0;
   /// Hash of the upstream's name.
   uint64_t upstream = 0;
-  /// Requests a second that it takes, and since when that is known.
+  /// Rate limit in requests per second, and the time since it was received.
   double rate = 0;
   duration limit_age{0};
-  /// Nothing else has room for it, so that it waits for its turn there.
+  /// No other upstream has capacity for the request, so it waits for this
+  /// daemon's send slot at this one.
   bool waits = false;
 };
 
-/// The answer to a `permit_request`.
+/// Reply to a `permit_request`.
 struct permit_reply {
   request_id request = 0;
   uint64_t upstream = 0;
   bool is_granted = false;
-  /// When this daemon's turn at the upstream comes.
+  /// Time until this daemon's next send slot at the upstream.
   duration retry_after{0};
 };
 
-/// A permit that was granted and is not used.
+/// A permit that was granted and not used.
 struct permit_return {
   uint64_t upstream = 0;
   double rate = 0;
--- a/include/cuminswitch/Protocol/shard_directory.h
+++ b/include/cuminswitch/Protocol/shard_directory.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the request router asks of the fleet.
+/// The request router's view of the fleet.
 #ifndef CUMINSWITCH_PROTOCOL_SHARD_DIRECTORY_H_
 #define CUMINSWITCH_PROTOCOL_SHARD_DIRECTORY_H_
 
@@ -11,11 +11,11 @@
 
 struct member;
 
-/// Who serves, and who owns which part of the idempotency keys.
+/// Looks up the serving daemons and the owners of idempotency-key shards.
 class shard_directory {
  public:
   virtual ~shard_directory() = default;
-  /// Returns the serving member that says it owns \p shard, or null.
+  /// Returns the serving member that advertises ownership of \p shard, or null.
   virtual const member* FindOwner(shard_number shard) const = 0;
   /// The number of serving daemons, this one included.
   virtual size_t CountServing() const = 0;
--- a/include/cuminswitch/Protocol/upstream_notice.h
+++ b/include/cuminswitch/Protocol/upstream_notice.h
@@ -1,6 +1,6 @@
 /// \file
-/// What an upstream says of itself along with an answer. The structs are one
-/// family and share this header.
+/// What an upstream reports about itself along with a response: its rate limit
+/// and a requested backoff.
 #ifndef CUMINSWITCH_PROTOCOL_UPSTREAM_NOTICE_H_
 #define CUMINSWITCH_PROTOCOL_UPSTREAM_NOTICE_H_
 
@@ -10,36 +10,36 @@
 
 namespace cuminswitch {
 
-/// Whether an answer names a figure.
+/// Whether a response carries a value of this kind.
 enum class notice_kind : uint8_t {
   kNone,
   kNamed,
-  /// It names one that cannot be read.
+  /// It carries one that cannot be parsed.
   kUnreadable,
 };
 
-/// The rate that an upstream takes; for all hosts together.
+/// The rate limit of an upstream, for all hosts together.
 struct limit_notice {
   notice_kind kind = notice_kind::kNone;
-  /// Requests a second that the upstream takes from all hosts together.
+  /// Requests per second that the upstream accepts from all hosts together.
   double rate = 0;
 };
 
-/// How long an upstream that refused a request wants nothing more; between it
-/// and this daemon alone.
+/// Backoff that an upstream requested when it refused a request. It applies
+/// only to this daemon.
 struct backoff_notice {
   notice_kind kind = notice_kind::kNone;
   duration time{0};
 };
 
-/// What a daemon knows of an upstream's limit, for its peers.
+/// A daemon's report to its peers about an upstream's rate limit.
 struct limit_update {
   /// Hash of the upstream's name.
   uint64_t upstream = 0;
-  /// Requests a second; nothing counts of it where the limit has ended.
+  /// Requests per second; meaningless if the limit has ended.
   double rate = 0;
   bool has_ended = false;
-  /// Since the upstream's answer that says so.
+  /// Time since the upstream's response that this is based on.
   duration age{0};
 };
 
