--- a/include/cuminswitch/Core/request_router.h
+++ b/include/cuminswitch/Core/request_router.h
@@ -41,7 +41,7 @@
   upstream_spec spec;
   upstream_report report;
   /// It is not to be used any more; only its name matters.
-  bool is_gone = false;
+  bool is_removed = false;
 };
 
 /// Admits requests, asks for the start of those that may run only once,
@@ -76,9 +76,9 @@
                        action_list& out);
   /// Brings \p config into force but for its upstreams, which are told by
   /// `OnUpstreams`.
-  void OnPlan(time_point now,
-              std::shared_ptr<const configuration> config,
-              action_list& out);
+  void OnRoutingConfig(time_point now,
+                       std::shared_ptr<const configuration> config,
+                       action_list& out);
   /// Takes in upstreams that came, changed or went.
   void OnUpstreams(time_point now,
                    std::span<const upstream_update> updates,
--- a/lib/Core/request_router.cc
+++ b/lib/Core/request_router.cc
@@ -48,9 +48,10 @@
   DrainQueue(now, out);
 }
 
-void request_router::OnPlan(time_point now,
-                            std::shared_ptr<const configuration> config,
-                            action_list& out) {
+void request_router::OnRoutingConfig(
+    time_point now,
+    std::shared_ptr<const configuration> config,
+    action_list& out) {
   config_ = std::move(config);
   UpdateFleetSize();
   replicas_.SetModels(now, config_->models);
@@ -61,7 +62,7 @@
                                  std::span<const upstream_update> updates,
                                  action_list& out) {
   for (const upstream_update& update : updates) {
-    if (update.is_gone) {
+    if (update.is_removed) {
       replicas_.RemoveUpstream(update.spec.name);
       continue;
     }
--- a/lib/Edge/edge_knowledge.cc
+++ b/lib/Edge/edge_knowledge.cc
@@ -53,7 +53,7 @@
       held_weights_.Add(change.after->weights);
       updates.push_back(TranslateUpstream(*change.after));
     } else {
-      updates.push_back({.spec = {.name = change.id}, .is_gone = true});
+      updates.push_back({.spec = {.name = change.id}, .is_removed = true});
     }
     if (change.before != nullptr) {
       held_weights_.Remove(change.before->weights);
@@ -69,8 +69,8 @@
 
 void edge_task::ApplyPlan(time_point now, action_list& actions) {
   if (knowledge_ != nullptr && knowledge_->plan != nullptr) {
-    router_.OnPlan(now, TranslateRoutingConfig(*knowledge_, held_weights_),
-                   actions);
+    router_.OnRoutingConfig(
+        now, TranslateRoutingConfig(*knowledge_, held_weights_), actions);
   }
 }
 
