--- a/include/cuminswitch/Core/core_status.h
+++ b/include/cuminswitch/Core/core_status.h
@@ -1,5 +1,5 @@
 /// \file
-/// What one daemon sees and has counted, for its status and metrics pages.
+/// State and counters of one daemon, for its status and metrics pages.
 #ifndef CUMINSWITCH_CORE_CORE_STATUS_H_
 #define CUMINSWITCH_CORE_CORE_STATUS_H_
 
@@ -21,21 +21,21 @@
   uint64_t answered = 0;
   uint64_t not_run = 0;
   uint64_t unknown = 0;
-  /// Requests given up on because their estimated wait was too long.
+  /// Requests refused because no upstream was available or the estimated wait
+  /// was too long.
   uint64_t shed = 0;
   uint64_t retries = 0;
-  /// Answers of attempts that no longer counted.
+  /// Results of attempts that had been given up before.
   uint64_t late_answers = 0;
   uint64_t platform_calls = 0;
   uint64_t peer_messages = 0;
   uint64_t prompt_tokens = 0;
   uint64_t cached_tokens = 0;
-  /// Tokens of shared prefixes that requests were placed with, by where they
-  /// were to come from.
+  /// Tokens of shared prefixes of dispatched requests, by `prefix_origin`.
   std::array<uint64_t, kPrefixOrigins> prefix_tokens{};
 };
 
-/// One upstream as the daemon sees it.
+/// State of one upstream as known to the daemon.
 struct upstream_status {
   std::string name;
   bool reachable = false;
@@ -46,11 +46,11 @@
   double limit = 0;
   double prefill_rate = 0;
   double retention_seconds = 0;
-  /// Requests a second that it takes from all daemons, where it names that.
+  /// Advertised rate limit in requests per second for all daemons, if any.
   std::optional<double> rate_limit;
 };
 
-/// The budget of retries for one target, as of its last use.
+/// The retry budget of one target, as of its last use.
 struct retry_status {
   std::string target;
   uint32_t retries = 0;
@@ -66,14 +66,14 @@
   size_t waiting = 0;
   size_t running = 0;
   size_t known_prefixes = 0;
-  /// Of the engines, the part that is kept for short prompts.
+  /// The share of the engines that is reserved for short prompts, 0 to 1.
   double short_share = 0;
-  /// Requests under which an upstream crashed, and those of them that are kept
-  /// away from upstreams.
+  /// Requests that were running at an upstream when it crashed, and those of
+  /// them that are quarantined.
   size_t suspected_requests = 0;
   size_t quarantined_requests = 0;
   std::vector<retry_status> retries;
-  /// Daemons that divide the fleet's retries among them, as this one believes.
+  /// Number of daemons among which this one divides the fleet's retry budget.
   size_t budget_daemons = 0;
   bool stopping = false;
 };
--- a/include/cuminswitch/Core/decision_core.h
+++ b/include/cuminswitch/Core/decision_core.h
@@ -1,8 +1,8 @@
 /// \file
-/// The seam between policy and I/O. Every decision of a daemon is made behind
-/// this class, from events to actions. It opens no socket, reads no clock,
-/// starts no thread, logs nothing and takes its randomness from a seed, so
-/// many of them can run in one process under a virtual clock.
+/// Separates policy from I/O. This class makes every decision of a daemon: it
+/// maps events to actions. It opens no socket, reads no clock, starts no
+/// thread, logs nothing and takes its randomness from a seed, so that many
+/// instances can run in one process under a virtual clock.
 #ifndef CUMINSWITCH_CORE_DECISION_CORE_H_
 #define CUMINSWITCH_CORE_DECISION_CORE_H_
 
@@ -21,7 +21,7 @@
 
 namespace cuminswitch {
 
-/// One daemon's decisions.
+/// The deterministic decision logic of one daemon.
 class decision_core {
  public:
   struct options {
@@ -35,16 +35,16 @@
     double fleet_writes_per_second = 200;
     std::chrono::seconds key_retention{600};
     double max_upstream_probes_per_second = 25;
-    /// How long requests are still taken after the daemon has left the
-    /// address answers: callers keep an answer for this long.
+    /// How long a stopping daemon still accepts requests after it is no longer
+    /// listed in address responses: callers cache a response for this long.
     duration linger = std::chrono::seconds(5);
   };
 
   explicit decision_core(const options& opts);
 
-  /// Takes one event in and returns what is to be done, in order.
+  /// Handles one event and returns the actions to execute, in order.
   action_list OnEvent(time_point now, const core_event& event);
-  /// When a `tick` is due at the latest.
+  /// The latest time at which the next `tick` is due.
   time_point NextWake() const { return next_wake_; }
   core_status GetStatus() const;
   const member_table& members() const { return members_; }
@@ -62,25 +62,42 @@
   void Handle(time_point now, const tick& event, action_list& out);
   void Handle(time_point now, const stop_requested& event, action_list& out);
 
-  void Take(time_point now, const heartbeat& message, action_list& out);
-  void Take(time_point now, const probe_request& message, action_list& out);
-  void Take(time_point now, const probe_reply& message, action_list& out);
-  void Take(time_point now,
-            const configuration_request& message,
-            action_list& out);
-  void Take(time_point now,
-            const configuration_reply& message,
-            action_list& out);
-  void Take(time_point now, const start_request& message, action_list& out);
-  void Take(time_point now, const start_reply& message, action_list& out);
-  void Take(time_point now, const finish_report& message, action_list& out);
-  void Take(time_point now, const release_report& message, action_list& out);
+  void HandlePeerMessage(time_point now,
+                         const heartbeat& message,
+                         action_list& out);
+  void HandlePeerMessage(time_point now,
+                         const probe_request& message,
+                         action_list& out);
+  void HandlePeerMessage(time_point now,
+                         const probe_reply& message,
+                         action_list& out);
+  void HandlePeerMessage(time_point now,
+                         const configuration_request& message,
+                         action_list& out);
+  void HandlePeerMessage(time_point now,
+                         const configuration_reply& message,
+                         action_list& out);
+  void HandlePeerMessage(time_point now,
+                         const start_request& message,
+                         action_list& out);
+  void HandlePeerMessage(time_point now,
+                         const start_reply& message,
+                         action_list& out);
+  void HandlePeerMessage(time_point now,
+                         const finish_report& message,
+                         action_list& out);
+  void HandlePeerMessage(time_point now,
+                         const release_report& message,
+                         action_list& out);
 
-  void Settle(time_point now, action_list& out);
-  void LoopBack(time_point now, action_list& out);
-  void ApplyAdopted(time_point now, action_list& out);
+  /// Completes the handling of any event: applies a new configuration and adds
+  /// the actions that follow from the event.
+  void FinishEvent(time_point now, action_list& out);
+  /// Handles messages to this daemon itself directly, instead of sending them.
+  void HandleMessagesToSelf(time_point now, action_list& out);
+  void ApplyAdoptedConfiguration(time_point now, action_list& out);
   void PollHostList(time_point now, action_list& out);
-  void ConsiderStop(time_point now, action_list& out);
+  void StopIfReady(time_point now, action_list& out);
   uint64_t UnixNow(time_point now) const;
 
   options options_;
--- a/include/cuminswitch/Core/request_router.h
+++ b/include/cuminswitch/Core/request_router.h
@@ -1,5 +1,5 @@
 /// \file
-/// The life of a request inside the decision core.
+/// Routing of requests to upstreams, from arrival to result.
 #ifndef CUMINSWITCH_CORE_REQUEST_ROUTER_H_
 #define CUMINSWITCH_CORE_REQUEST_ROUTER_H_
 
@@ -36,35 +36,35 @@
 
 class shard_directory;
 
-/// An upstream as it is now.
+/// The current state of an upstream, or its removal.
 struct upstream_update {
   upstream_spec spec;
   upstream_report report;
-  /// It is not to be used any more; only its name matters.
+  /// The upstream was removed; only `spec.name` is used.
   bool is_removed = false;
 };
 
-/// Admits requests, asks for the start of those that may run only once,
-/// places them, retries them where that is safe, and ends each with the
-/// outcome that is true.
+/// Admits requests, obtains the start grant for those that may run at most
+/// once, places them at upstreams, retries them if that is safe, and reports
+/// each one's result: answered, not run, or unknown.
 class request_router {
  public:
   struct options {
-    /// Who this daemon is, for start requests.
+    /// This daemon, as identified in start requests.
     member self;
     std::string policy = "prefix_cost";
     uint64_t random_seed = 0;
     size_t prefix_capacity = 131'072;
     shard_number shard_count = 16;
-    /// How long the start of a non-repeatable request may take.
+    /// How long to wait for the start grant of an at-most-once request.
     duration start_timeout = std::chrono::seconds(5);
-    /// For each target by itself.
+    /// Applies to each target separately.
     retry_budget::options retries;
     replica_table::options replicas;
-    /// Refuse at once what no upstream can take now; otherwise it waits for
-    /// one until its time is over.
+    /// Refuse a request at once if no upstream is eligible; otherwise it is
+    /// queued until its deadline.
     bool refuse_without_upstream = false;
-    /// Keep placements for `TakePlacedPrefixes`.
+    /// Record placements for `TakePlacedPrefixes`.
     bool reports_placements = false;
     request_quarantine::options quarantine;
   };
@@ -74,12 +74,12 @@
   void OnConfiguration(time_point now,
                        std::shared_ptr<const configuration> config,
                        action_list& out);
-  /// Brings \p config into force but for its upstreams, which are told by
+  /// Puts \p config into force except for its upstreams, which are set by
   /// `OnUpstreams`.
   void OnRoutingConfig(time_point now,
                        std::shared_ptr<const configuration> config,
                        action_list& out);
-  /// Takes in upstreams that came, changed or went.
+  /// Applies added, changed and removed upstreams.
   void OnUpstreams(time_point now,
                    std::span<const upstream_update> updates,
                    action_list& out);
@@ -95,217 +95,243 @@
                         const upstream_report& report,
                         action_list& out);
   void OnUpstreamLoad(time_point now, const upstream_load& load);
-  /// Learns where peers have placed what.
-  void OnPeerPlacements(time_point now, const peer_placements& told);
+  /// Applies a peer's report of its placements, backlogs and traffic.
+  void OnPeerPlacements(time_point now, const peer_placements& report);
   /// Returns the shared prefixes that were placed since the last call.
   std::vector<placed_prefix> TakePlacedPrefixes() {
     return std::exchange(placed_prefixes_, {});
   }
-  /// Of the engines, the part that is kept for short prompts.
+  /// The share of the engines that is reserved for short prompts, 0 to 1.
   double short_share() const { return short_share_; }
-  /// This daemon's traffic of late, for its peers.
+  /// This daemon's recent traffic, for its peers.
   prompt_mix OwnMix(time_point now) const;
   std::vector<upstream_backlog> ListBacklogs() {
     return replicas_.ListBacklogs();
   }
   void OnUpstreamChanging(const upstream_changing& event);
-  /// Whether the running request \p id could be sent to another upstream now.
+  /// Whether the running request \p id may be retried at another upstream, and
+  /// one accepts requests now.
   bool CanPlaceElsewhere(time_point now, request_id id);
   void OnStartReply(time_point now, const start_reply& reply, action_list& out);
   void OnTick(time_point now, action_list& out);
-  /// Whether the platform answered the last call. While it does not, a shard
-  /// without owner gets none.
+  /// Sets whether the platform replied to the last call. While it does not, a
+  /// shard without an owner gets none.
   void SetPlatformReachable(bool reachable) { platform_reachable_ = reachable; }
-  /// Refuses new requests from now on.
+  /// Makes the router refuse all new requests.
   void CloseAdmission() { admission_closed_ = true; }
 
   bool IsIdle() const { return requests_.empty(); }
   workspace_limiter& limiter() { return limiter_; }
-  /// Returns the requests that wait for leave to be sent to an upstream with a
-  /// limit, since the last call. Each gets an answer by `OnPermit`.
+  /// Returns the permit requests for upstreams with a rate limit that were made
+  /// since the last call. Each must be answered through `OnPermit`.
   std::vector<permit_request> TakePermitRequests() {
-    return std::exchange(permit_questions_, {});
+    return std::exchange(permit_requests_, {});
   }
-  /// Returns the permits that were granted and not used since the last call.
+  /// Returns the permits that were granted but not used since the last call.
   std::vector<permit_return> TakeUnusedPermits() {
     return std::exchange(unused_permits_, {});
   }
-  void OnPermit(time_point now, const permit_reply& answer, action_list& out);
-  /// Learns what an upstream's answer says of its limit.
+  void OnPermit(time_point now, const permit_reply& reply, action_list& out);
+  /// Applies the rate limit in an upstream's response to a request that was
+  /// sent at \p sent.
   upstream_limits::change OnLimit(time_point now,
                                   uint64_t upstream,
                                   time_point sent,
                                   const limit_notice& notice);
-  /// Learns what a peer knows of an upstream's limit.
-  upstream_limits::change OnPeerLimit(time_point now, const limit_update& news);
-  /// Ends the limits that no answer has renewed for long; returns their
-  /// upstreams.
+  /// Applies a peer's update about an upstream's rate limit.
+  upstream_limits::change OnPeerLimit(time_point now,
+                                      const limit_update& update);
+  /// Ends rate limits that no response has renewed for long; returns the hashes
+  /// of their upstreams' names.
   std::vector<uint64_t> ExpireLimits(time_point now);
-  /// An upstream has started again, and has no limit so far.
+  /// Forgets the rate limit of an upstream that has restarted.
   upstream_limits::change ForgetLimit(uint64_t upstream);
-  /// The upstream of \p attempt has begun to answer it.
+  /// The upstream of \p attempt has begun to respond to it.
   void OnAttemptAnswered(attempt_id attempt);
-  /// The upstream of \p attempt refused it and wants no request for \p time.
+  /// The upstream of \p attempt refused it and requested a backoff of \p time.
   void OnBackoffRequested(time_point now, attempt_id attempt, duration time);
-  /// The upstream of \p attempt leaves. Returns whether that is news.
+  /// The upstream of \p attempt reported that it is leaving. Returns whether
+  /// this changes its state.
   bool OnUpstreamLeaving(attempt_id attempt);
-  /// Which requests crash upstreams. What peers and the store know of them goes
-  /// in here.
+  /// The quarantine of requests that crash upstreams, to which reports of peers
+  /// and of the store are applied.
   request_quarantine& quarantine() { return quarantine_; }
   const request_quarantine& quarantine() const { return quarantine_; }
-  /// The upstream whose name has \p hash; empty where none is known.
+  /// The name of the upstream whose name has \p hash; empty if unknown.
   std::string_view FindUpstreamName(uint64_t hash) const;
-  /// What upstreams say of the rate that they take.
+  /// The rate limits that upstreams advertise.
   const upstream_limits& limits() const { return limits_; }
   core_counters& counters() { return counters_; }
   void FillStatus(core_status& status) const;
 
  private:
-  enum class stage : uint8_t { kStarting, kWaiting, kAsking, kRunning };
+  enum class stage : uint8_t {
+    kAwaitingStart,
+    kQueued,
+    kAwaitingPermit,
+    kRunning
+  };
 
   struct attempt {
     attempt_id id = 0;
     replica_index index = 0;
-    /// Stands for the upstream's present start.
+    /// See `UpstreamStartId`.
     uint64_t upstream_start = 0;
+    /// Prompt tokens that are expected not to be cached at the upstream.
     double expected_tokens = 0;
     time_point sent{};
-    /// From then to the first byte, as far as was known.
+    /// Expected time from `sent` to the first byte, estimated at dispatch.
     duration expected_wait{0};
-    /// The cache store that it was to copy from, if any.
+    /// The cache store from which the engine was to copy prefixes, if any.
     std::optional<endpoint> copied_from_store;
     std::optional<time_point> first_byte;
-    /// Its prompt is longer than the mean.
+    /// The prompt is longer than the mean.
     bool is_long = false;
-    /// The weights that it was placed for.
+    /// The weights version at the replica when the attempt was placed there.
     std::string version;
-    /// The replica had nothing queued, so its speed can be learnt.
-    bool unqueued = false;
-    /// Since when this daemon believed the shared level to be cached there.
-    std::optional<duration> believed_age;
+    /// The replica had no queue, so the time to first byte shows its prefill
+    /// rate.
+    bool queue_was_empty = false;
+    /// Time since the last use of the shared level at this replica, if this
+    /// daemon assumed that it was cached there.
+    std::optional<duration> assumed_cached_age;
   };
 
   struct request {
     request_arrived info;
-    stage at = stage::kWaiting;
+    stage current_stage = stage::kQueued;
     uint64_t workspace_hash = 0;
     uint64_t scope = 0;
     std::shared_ptr<const configuration> config;
     const workspace_spec* workspace = nullptr;
-    /// Whether it may run at most once.
+    /// It has an idempotency key and runs at most once per key.
     bool once = false;
-    /// Whether it may be sent again when an attempt's end is unknown.
+    /// Whether it may be retried if an attempt's result is unknown.
     bool repeatable = true;
-    /// An attempt whose end is unknown may have run it.
+    /// The result of an attempt is unknown: it may have run the request.
     bool may_have_run = false;
-    bool counted = false;
+    /// Counted in the workspace's requests in flight.
+    bool is_counted_in_flight = false;
     bool caller_gone = false;
     time_point deadline{};
     time_point start_deadline{};
     time_point next_start_request{};
+    /// Epoch of the shard's owner that granted the start; 0 before.
     epoch_number epoch = 0;
     key_hash key;
+    /// Replicas at which attempts have failed.
     std::vector<replica_index> excluded;
-    /// Attempts that reached an upstream, and those that may have run.
+    /// Number of attempts that reached an upstream, and of those that may have
+    /// run.
     uint32_t arrivals = 0;
     uint32_t runs = 0;
     std::optional<attempt> running;
-    /// Where it goes if that is granted, while it is asked for.
-    placement asked;
+    /// The placement to use once its permit is granted; valid in
+    /// `stage::kAwaitingPermit`.
+    placement pending_placement;
   };
 
-  /// Why a request ends without an upstream's answer.
+  /// The response to a request that ends without an upstream's response.
   struct refusal {
     uint32_t status = 503;
     uint32_t retry_after_seconds = 0;
     std::string message;
     duration retry_after{0};
-    /// Where it is refused for lateness.
+    /// The wait estimate, if it is refused because it would be late.
     std::optional<expected_wait> wait;
   };
 
   std::optional<refusal> Check(const request& item) const;
   void PrepareLevels(request& item) const;
-  /// Tells apart the caches that must not meet: pools, targets, weights.
+  /// Hash of everything that separates caches: the cache pool, the target, its
+  /// adapter, and the weights \p version.
   uint64_t CacheScope(const request& item, std::string_view version) const;
   void SendStartRequest(time_point now, request& item, action_list& out);
-  /// Takes back attempts that would begin on weights superseded too long ago.
+  /// Cancels attempts without a first byte at replicas whose weights were
+  /// superseded too long ago.
   void ExpireOldWeights(time_point now, action_list& out);
-  /// Gives up on starts that are late or that nobody can grant.
+  /// Refuses requests whose start grant timed out or cannot be given, and
+  /// repeats the start requests of the others.
   void ExpireStarts(time_point now, action_list& out);
   bool IsStartOver(time_point now, const request& item) const;
   void RefuseLateStart(request_id id, action_list& out);
-  /// Whether nobody can grant the start and nobody will before the platform
-  /// answers again.
+  /// Whether the shard has no owner that could grant the start, and none can
+  /// appear before the platform is reachable again.
   bool IsStartHopeless(const request& item) const;
   shard_number ShardOf(const request& item) const;
   void ReleaseStart(const request& item, action_list& out) const;
   void Admit(time_point now, request& item, action_list& out);
   void Enqueue(time_point now, request& item, action_list& out);
-  /// Whether a request may be sent now, or only after others that wait.
-  enum class turn : uint8_t { kNow, kAfterOthers };
-  /// Returns whether the request needs no further placing: it was sent, or
-  /// refused.
-  bool TryPlace(time_point now, request& item, turn at, action_list& out);
-  /// From 0 to 1, the same each time, so that asking again does not add up.
-  static double LuckOf(const request& item);
-  /// Stands for the present start of an upstream.
-  static uint64_t StartOf(const replica& item);
-  /// Refuses the request if its answer would come too late to be worth the
-  /// work that it takes from others. It waits \p ahead seconds before it can be
-  /// sent to the replica \p chosen.
+  /// Whether a request may be sent now, or only after others in the queue.
+  enum class queue_position : uint8_t { kFirst, kBehindOthers };
+  /// Returns whether the request was sent or refused, or awaits a permit, and
+  /// so need not be queued.
+  bool TryPlace(time_point now,
+                request& item,
+                queue_position position,
+                action_list& out);
+  /// A hash of the request as a fraction from 0 to 1. It is the same at each
+  /// call, so that repeated checks do not add up to a higher chance of refusal.
+  static double HashFraction(const request& item);
+  /// Identifies one start of an upstream: a hash of its name and its start.
+  static uint64_t UpstreamStartId(const replica& item);
+  /// Sheds the request, with a chance that grows with its expected lateness, to
+  /// spare capacity for others. It waits \p local_queue_seconds in this daemon
+  /// before it can be sent to the replica \p chosen.
   bool ShedIfLate(time_point now,
                   const request& item,
                   const placement& chosen,
-                  double ahead,
+                  double local_queue_seconds,
                   action_list& out);
-  /// Sends the request to the replica \p chosen, or asks first whether that
-  /// takes it now.
-  void SendOrAsk(time_point now,
-                 request& item,
-                 const placement& chosen,
-                 const eligible_replicas& eligible,
-                 action_list& out);
-  /// Refuses the request if it crashes upstreams.
+  /// Sends the request to the replica \p chosen, or first requests a permit if
+  /// that has a rate limit.
+  void SendOrRequestPermit(time_point now,
+                           request& item,
+                           const placement& chosen,
+                           const eligible_replicas& eligible,
+                           action_list& out);
+  /// Refuses the request if it is quarantined because it crashes upstreams.
   bool RefuseIfQuarantined(time_point now,
                            const request& item,
                            action_list& out);
-  /// Learns from an attempt's end whether its request crashes upstreams.
-  void LearnCrash(time_point now,
-                  const request& item,
-                  const attempt& done,
-                  const attempt_ended& event);
-  /// Refuses the request if upstreams keep it waiting beyond its time, by
-  /// limits that they name or by rest that they asked for.
+  /// Records in the quarantine that an attempt lost its connection or was
+  /// completed.
+  void RecordCrash(time_point now,
+                   const request& item,
+                   const attempt& done,
+                   const attempt_ended& event);
+  /// Refuses the request if even the replica \p chosen accepts nothing before
+  /// its deadline, because of a rate limit or a requested backoff.
   bool RefuseIfClosed(time_point now,
                       const request& item,
                       const placement& chosen,
                       action_list& out);
-  /// The permit is not used; it is given back where there still is a limit.
-  void ReturnPermit(const permit_reply& answer);
-  /// What is known of an upstream's limit changed.
-  void NoteLimitChange(uint64_t upstream, upstream_limits::change what);
+  /// Releases an unused permit if the upstream still has a rate limit.
+  void ReturnPermit(const permit_reply& reply);
+  /// On a change of an upstream's rate limit, ends the wait for a send slot
+  /// that was announced under the previous limit.
+  void OnLimitChange(uint64_t upstream, upstream_limits::change what);
   void Dispatch(time_point now,
                 request& item,
                 const placement& chosen,
                 std::span<const replica_index> eligible,
                 action_list& out);
   void DrainQueue(time_point now, action_list& out);
-  void LearnFromAnswer(time_point now,
-                       const request& item,
-                       const attempt& done,
-                       const attempt_ended& event);
+  void LearnFromResponse(time_point now,
+                         const request& item,
+                         const attempt& done,
+                         const attempt_ended& event);
   void Retry(time_point now,
              request& item,
              const attempt_ended& event,
              action_list& out);
-  /// Takes in what a peer placed at the upstream \p index.
-  void NotePeerPlacement(time_point now,
-                         replica_index index,
-                         const placed_prefix& told);
+  /// Records a prefix that a peer placed at the upstream \p index.
+  void RecordPeerPlacement(time_point now,
+                           replica_index index,
+                           const placed_prefix& placed);
   void Refuse(request_id id, const refusal& why, action_list& out);
-  /// What is true of a request that ends without an upstream's answer.
-  static outcome JudgeRefused(const request& item);
+  /// The result of a request that ends without an upstream's response.
+  static outcome ClassifyRefused(const request& item);
   void ReportFinish(const request& item,
                     outcome result,
                     const recorded_response& answer,
@@ -313,13 +339,13 @@
   void Erase(request_id id);
   std::span<const std::string> AllowedDomains(const request& item) const;
   priority_class PriorityOf(const request& item) const;
-  retry_budget& BudgetOf(const std::string& target);
-  /// The attempt \p id; null where it is over.
+  retry_budget& RetryBudgetFor(const std::string& target);
+  /// Returns the attempt \p id; null if it has ended.
   const attempt* FindAttempt(attempt_id id) const;
-  /// The replica of \p attempt; null where the attempt is over or the replica
-  /// has started again since.
+  /// Returns the replica of \p attempt; null if the attempt has ended or the
+  /// replica has restarted since.
   replica* FindReplica(attempt_id attempt);
-  /// Whether it may be run once more although it may have run.
+  /// Whether the request may be retried although it may have run.
   static bool MayRepeat(const request& item);
   bool HasUpstream(time_point now,
                    const request& item,
@@ -341,9 +367,9 @@
   replica_table replicas_;
   prefix_index prefixes_;
   copy_budget copy_budget_;
-  prompt_length_classifier kinds_;
-  /// The part of the engines that was kept for short prompts when the last one
-  /// was placed.
+  prompt_length_classifier prompt_lengths_;
+  /// The share of the engines that was reserved for short prompts when the last
+  /// prompt was placed.
   double short_share_ = 0;
   std::vector<placed_prefix> placed_prefixes_;
   wait_queue queue_;
@@ -351,15 +377,18 @@
   upstream_limits limits_;
   request_quarantine quarantine_;
   time_point next_quarantine_expiry_{};
-  std::vector<permit_request> permit_questions_;
+  std::vector<permit_request> permit_requests_;
   std::vector<permit_return> unused_permits_;
   std::map<std::string, retry_budget, std::less<>> retries_;
-  /// The largest fleet seen; the part of a daemon that is away may be spent.
+  /// The largest fleet size seen, by which the retry budget is divided: a
+  /// daemon that is not seen now may still be alive and spend its share.
   size_t largest_fleet_ = 1;
-  std::map<std::string, drain_meter, std::less<>> meters_;
+  /// Rate at which requests end, by target.
+  std::map<std::string, drain_meter, std::less<>> drain_meters_;
   std::unordered_map<request_id, request> requests_;
   std::unordered_map<attempt_id, request_id> attempts_;
-  /// Starts given up on before their reply; a late grant is given back.
+  /// Starts of refused requests whose reply may still come; a late grant is
+  /// released.
   std::map<request_id, release_report> abandoned_starts_;
   core_counters counters_;
   attempt_id next_attempt_ = 1;
--- a/include/cuminswitch/Core/upstream_prober.h
+++ b/include/cuminswitch/Core/upstream_prober.h
@@ -1,5 +1,5 @@
 /// \file
-/// When to ask each upstream for its load report.
+/// Schedules the load-report probes of upstreams.
 #ifndef CUMINSWITCH_CORE_UPSTREAM_PROBER_H_
 #define CUMINSWITCH_CORE_UPSTREAM_PROBER_H_
 
@@ -13,15 +13,15 @@
 
 struct configuration;
 
-/// Probes upstreams in turn at a bounded rate, so that the cost per daemon
-/// stays flat as upstreams are added. New upstreams go first.
+/// Probes upstreams round-robin at a bounded rate, so that the cost per daemon
+/// stays constant as upstreams are added. New upstreams are probed first.
 class upstream_prober {
  public:
   struct options {
-    /// Probes per second at most.
+    /// Maximum number of probes per second.
     double max_rate = 25;
-    /// Least time between two probes of one upstream.
-    duration least_interval = std::chrono::milliseconds(500);
+    /// Minimum time between two probes of one upstream.
+    duration min_interval = std::chrono::milliseconds(500);
   };
 
   explicit upstream_prober(const options& opts) : options_(opts) {}
--- a/lib/Core/decision_core.cc
+++ b/lib/Core/decision_core.cc
@@ -8,11 +8,11 @@
 namespace cuminswitch {
 
 static constexpr duration kTickInterval = std::chrono::milliseconds(20);
-/// The list lags anyway; members find each other by heartbeat.
+/// The host list lags anyway; members find each other by heartbeats.
 static constexpr duration kHostListInterval = std::chrono::seconds(10);
-/// A stopping daemon waits no longer for its shards to be handed back: their
-/// next owner does not need its help.
-static constexpr duration kHandBackTimeout = std::chrono::seconds(3);
+/// A stopping daemon waits no longer for the release of its shards: their next
+/// owners can take them over without it.
+static constexpr duration kShardReleaseTimeout = std::chrono::seconds(3);
 
 decision_core::decision_core(const options& opts)
     : options_(opts),
@@ -45,14 +45,14 @@
 action_list decision_core::OnEvent(time_point now, const core_event& event) {
   action_list out;
   std::visit([&](const auto& item) { Handle(now, item, out); }, event);
-  Settle(now, out);
+  FinishEvent(now, out);
   return out;
 }
 
-void decision_core::Settle(time_point now, action_list& out) {
-  ApplyAdopted(now, out);
+void decision_core::FinishEvent(time_point now, action_list& out) {
+  ApplyAdoptedConfiguration(now, out);
   members_.SetShards(shards_.OwnedShards());
-  LoopBack(now, out);
+  HandleMessagesToSelf(now, out);
   if (members_.change_count() != announced_changes_) {
     announced_changes_ = members_.change_count();
     out.push_back(members_changed{.members = members_.ListMembers()});
@@ -66,7 +66,8 @@
   }
 }
 
-void decision_core::ApplyAdopted(time_point now, action_list& out) {
+void decision_core::ApplyAdoptedConfiguration(time_point now,
+                                              action_list& out) {
   if (config_.generation() == applied_generation_) {
     return;
   }
@@ -76,8 +77,9 @@
   router_.OnConfiguration(now, config_.config(), out);
 }
 
-void decision_core::LoopBack(time_point now, action_list& out) {
-  // A daemon that owns a shard asks itself for starts; no message leaves.
+void decision_core::HandleMessagesToSelf(time_point now, action_list& out) {
+  // A daemon that owns a shard sends start requests to itself; they are handled
+  // here and never reach the network.
   for (size_t i = 0; i < out.size();) {
     auto* message = std::get_if<send_peer>(&out[i]);
     if (message == nullptr || message->to != options_.self.peer_address) {
@@ -86,7 +88,8 @@
     }
     const peer_message own = std::move(message->message);
     out.erase(out.begin() + static_cast<std::ptrdiff_t>(i));
-    std::visit([&](const auto& item) { Take(now, item, out); }, own);
+    std::visit([&](const auto& item) { HandlePeerMessage(now, item, out); },
+               own);
   }
 }
 
@@ -123,7 +126,8 @@
 void decision_core::Handle(time_point now,
                            const peer_received& event,
                            action_list& out) {
-  std::visit([&](const auto& item) { Take(now, item, out); }, event.message);
+  std::visit([&](const auto& item) { HandlePeerMessage(now, item, out); },
+             event.message);
 }
 
 void decision_core::Handle(time_point now,
@@ -157,7 +161,7 @@
   prober_.OnTick(now, out);
   router_.OnTick(now, out);
   PollHostList(now, out);
-  ConsiderStop(now, out);
+  StopIfReady(now, out);
 }
 
 void decision_core::Handle(time_point now,
@@ -171,14 +175,15 @@
   members_.Leave(out);
 }
 
-void decision_core::ConsiderStop(time_point now, action_list& out) {
+void decision_core::StopIfReady(time_point now, action_list& out) {
   if (!stopping_ || stop_announced_ || now - stop_since_ < options_.linger) {
     return;
   }
   router_.CloseAdmission();
   shards_.ReleaseAll(UnixNow(now), out);
   const bool handed_back = shards_.OwnedShards().empty();
-  const bool waited = now - stop_since_ >= options_.linger + kHandBackTimeout;
+  const bool waited =
+      now - stop_since_ >= options_.linger + kShardReleaseTimeout;
   if (router_.IsIdle() && (handed_back || waited)) {
     stop_announced_ = true;
     out.push_back(stop_ready{});
@@ -197,61 +202,61 @@
                               .expected = 0});
 }
 
-void decision_core::Take(time_point now,
-                         const heartbeat& message,
-                         action_list& out) {
+void decision_core::HandlePeerMessage(time_point now,
+                                      const heartbeat& message,
+                                      action_list& out) {
   members_.OnHeartbeat(now, message, out);
   router_.limiter().OnPeerUsage(now, message.sender.host, message.usage);
   config_.OnPeerGeneration(now, message.generation, message.sender.peer_address,
                            out);
 }
 
-void decision_core::Take(time_point /*now*/,
-                         const probe_request& message,
-                         action_list& out) {
+void decision_core::HandlePeerMessage(time_point /*now*/,
+                                      const probe_request& message,
+                                      action_list& out) {
   members_.OnProbeRequest(message, out);
 }
 
-void decision_core::Take(time_point now,
-                         const probe_reply& message,
-                         action_list& /*out*/) {
+void decision_core::HandlePeerMessage(time_point now,
+                                      const probe_reply& message,
+                                      action_list& /*out*/) {
   members_.OnProbeReply(now, message);
 }
 
-void decision_core::Take(time_point /*now*/,
-                         const configuration_request& message,
-                         action_list& out) {
+void decision_core::HandlePeerMessage(time_point /*now*/,
+                                      const configuration_request& message,
+                                      action_list& out) {
   config_.OnRequest(message, out);
 }
 
-void decision_core::Take(time_point now,
-                         const configuration_reply& message,
-                         action_list& out) {
+void decision_core::HandlePeerMessage(time_point now,
+                                      const configuration_reply& message,
+                                      action_list& out) {
   config_.OnReply(now, message, out);
-  ApplyAdopted(now, out);
+  ApplyAdoptedConfiguration(now, out);
 }
 
-void decision_core::Take(time_point now,
-                         const start_request& message,
-                         action_list& out) {
+void decision_core::HandlePeerMessage(time_point now,
+                                      const start_request& message,
+                                      action_list& out) {
   shards_.OnStart(now, UnixNow(now), message, out);
 }
 
-void decision_core::Take(time_point now,
-                         const start_reply& message,
-                         action_list& out) {
+void decision_core::HandlePeerMessage(time_point now,
+                                      const start_reply& message,
+                                      action_list& out) {
   router_.OnStartReply(now, message, out);
 }
 
-void decision_core::Take(time_point /*now*/,
-                         const finish_report& message,
-                         action_list& /*out*/) {
+void decision_core::HandlePeerMessage(time_point /*now*/,
+                                      const finish_report& message,
+                                      action_list& /*out*/) {
   shards_.OnFinish(message);
 }
 
-void decision_core::Take(time_point /*now*/,
-                         const release_report& message,
-                         action_list& /*out*/) {
+void decision_core::HandlePeerMessage(time_point /*now*/,
+                                      const release_report& message,
+                                      action_list& /*out*/) {
   shards_.OnRelease(message);
 }
 
--- a/lib/Core/request_attempts.cc
+++ b/lib/Core/request_attempts.cc
@@ -1,5 +1,5 @@
-// Attempts at requests: their dispatch, what is learnt from their ends, and
-// whether another one follows.
+// Attempts at requests: their dispatch, what is learnt from their results, and
+// retries.
 #include <algorithm>
 #include <utility>
 
@@ -10,13 +10,15 @@
 
 namespace cuminswitch {
 
-/// Upstreams beyond those that may run a request that may refuse it. Without a
-/// bound, one request that all refuse spends the whole budget of retries.
+/// Number of upstreams that may refuse a request, beyond those that may run it.
+/// Without a bound, one request that all refuse uses up the whole retry budget.
 static constexpr uint32_t kExtraArrivals = 2;
-/// Fewer computed tokens than this say little about a replica's speed.
-static constexpr double kLeastTokensToLearnFrom = 256;
-/// A level counts as hit when this share of it came from the cache.
-static constexpr double kHitShare = 0.9;
+/// With fewer computed tokens, the time to first byte says little about a
+/// replica's prefill rate.
+static constexpr double kMinTokensForRateSample = 256;
+/// A level counts as a cache hit if at least this share of its tokens was
+/// cached.
+static constexpr double kMinHitShare = 0.9;
 
 void request_router::Dispatch(time_point now,
                               request& item,
@@ -24,23 +26,23 @@
                               std::span<const replica_index> eligible,
                               action_list& out) {
   const replica& target = replicas_[chosen.index];
-  if (!item.counted) {
-    item.counted = true;
+  if (!item.is_counted_in_flight) {
+    item.is_counted_in_flight = true;
     limiter_.OnStart(item.workspace_hash);
-    BudgetOf(item.info.target).OnFirstAttempt(now);
+    RetryBudgetFor(item.info.target).OnFirstAttempt(now);
   }
   const double queue = replicas_.EstimateQueueSeconds(now, chosen.index);
   attempt next{
       .id = next_attempt_++,
       .index = chosen.index,
-      .upstream_start = StartOf(target),
+      .upstream_start = UpstreamStartId(target),
       .expected_tokens = std::max(
           0.0, item.info.prompt_tokens - chosen.expected_cached_tokens),
       .sent = now,
       .first_byte = std::nullopt,
       .version = replicas_.VersionAt(chosen.index, item.info.target),
-      .unqueued = queue == 0,
-      .believed_age = std::nullopt};
+      .queue_was_empty = queue == 0,
+      .assumed_cached_age = std::nullopt};
   next.expected_wait =
       FromSeconds(queue + next.expected_tokens / target.prefill_rate);
   const auto& levels = item.info.levels;
@@ -48,7 +50,7 @@
   if (shared != nullptr) {
     if (const prefix_holder* holder = FindHolder(
             prefixes_.Find(shared->hash), chosen.index, target.incarnation)) {
-      next.believed_age = now - holder->used_at;
+      next.assumed_cached_age = now - holder->used_at;
     }
   }
   cache_plan cache;
@@ -92,15 +94,15 @@
     }
   }
   if (item.info.prompt_tokens > 0) {
-    next.is_long = kinds_.IsLong(now, item.info.prompt_tokens);
-    kinds_.CountRead(now, next.is_long, next.expected_tokens);
+    next.is_long = prompt_lengths_.IsLong(now, item.info.prompt_tokens);
+    prompt_lengths_.CountRead(now, next.is_long, next.expected_tokens);
   }
   replicas_.OnDispatch(chosen.index, next.expected_tokens);
   const uint32_t earlier = item.arrivals++;
   ++item.runs;
   attempts_[next.id] = item.info.request;
-  item.at = stage::kRunning;
-  const retry_budget::usage budget = BudgetOf(item.info.target).Usage();
+  item.current_stage = stage::kRunning;
+  const retry_budget::usage budget = RetryBudgetFor(item.info.target).Usage();
   out.push_back(dispatch_attempt{
       .request = item.info.request,
       .attempt = next.id,
@@ -132,8 +134,8 @@
   if (const model_spec* model = config_->FindModel(item.info.target)) {
     scope = CombineHash(scope, Hash64(model->adapter));
   }
-  // Of the weights that the upstream has, not of those that it should have: a
-  // cache made under others must never be found.
+  // The version is the one that the upstream has, not the one that it should
+  // have: a cache computed with other weights must never be used.
   return CombineHash(scope, Hash64(version));
 }
 
@@ -155,22 +157,22 @@
   if (item.info.prompt_tokens == 0) {
     replicas_.LearnFirstByte(running.index, took);
   } else {
-    const duration excess = took - running.expected_wait;
+    const duration prediction_error = took - running.expected_wait;
     replicas_.LearnPredictionError(now, item.info.target, PriorityOf(item),
-                                   excess);
-    copy_budget_.OnFirstByte(running.copied_from_store, excess);
+                                   prediction_error);
+    copy_budget_.OnFirstByte(running.copied_from_store, prediction_error);
   }
-  // Of the whole prompt: that a prefix was not cached after all says nothing
-  // about too many requests.
-  const double computing =
+  // The whole prompt counts here: a cache miss would lengthen the wait too, but
+  // does not mean that the replica has too many requests.
+  const double prefill_seconds =
       item.info.prompt_tokens / replicas_[running.index].prefill_rate;
-  replicas_.AdaptLimit(now, running.index, took, computing);
+  replicas_.AdaptLimit(now, running.index, took, prefill_seconds);
 }
 
-void request_router::LearnFromAnswer(time_point now,
-                                     const request& item,
-                                     const attempt& done,
-                                     const attempt_ended& event) {
+void request_router::LearnFromResponse(time_point now,
+                                       const request& item,
+                                       const attempt& done,
+                                       const attempt_ended& event) {
   replica& target = replicas_.at(done.index);
   if (done.first_byte) {
     replicas_.LearnAnswerTime(done.index, now - *done.first_byte);
@@ -181,10 +183,10 @@
                                  .used_at = now});
   }
   if (event.prompt_tokens == 0) {
-    // The answer carries no counts, so the expectation stands for them.
+    // The response carries no token counts, so the expected number is used.
     replicas_.LearnComputed(done.index, done.expected_tokens);
-    if (done.unqueued && done.first_byte &&
-        done.expected_tokens >= kLeastTokensToLearnFrom) {
+    if (done.queue_was_empty && done.first_byte &&
+        done.expected_tokens >= kMinTokensForRateSample) {
       replicas_.LearnPrefillRate(done.index, done.expected_tokens,
                                  *done.first_byte - done.sent);
     }
@@ -195,21 +197,22 @@
   const double computed =
       static_cast<double>(event.prompt_tokens) - event.cached_tokens;
   replicas_.LearnComputed(done.index, computed);
-  if (done.unqueued && done.first_byte && computed >= kLeastTokensToLearnFrom) {
+  if (done.queue_was_empty && done.first_byte &&
+      computed >= kMinTokensForRateSample) {
     replicas_.LearnPrefillRate(done.index, computed,
                                *done.first_byte - done.sent);
   }
   const auto& levels = item.info.levels;
-  if (!done.believed_age || item.info.prompt_tokens == 0) {
+  if (!done.assumed_cached_age || item.info.prompt_tokens == 0) {
     return;
   }
-  // How long the engine keeps what is not used: a hit at some age says at
-  // least that long, a miss says less.
+  // Estimate how long the engine retains an unused prefix: a hit at some age is
+  // a lower bound, a miss is an upper bound.
   const double scale =
       static_cast<double>(event.prompt_tokens) / item.info.prompt_tokens;
   const double shared = FindSharedLevel(levels)->tokens * scale;
-  const double age = ToSeconds(*done.believed_age);
-  if (event.cached_tokens >= kHitShare * shared) {
+  const double age = ToSeconds(*done.assumed_cached_age);
+  if (event.cached_tokens >= kMinHitShare * shared) {
     target.retention_seconds = std::max(target.retention_seconds, age);
   } else if (age < 2 * target.retention_seconds) {
     target.retention_seconds =
@@ -234,10 +237,10 @@
   }
   replicas_.OnEnd(done.index);
   if (item.info.prompt_tokens > 0 && !done.is_long) {
-    kinds_.CountShortHeld(now, now - done.sent);
+    prompt_lengths_.CountShortHeld(now, now - done.sent);
   }
-  meters_[item.info.target].OnCompletion(now);
-  LearnCrash(now, item, done, event);
+  drain_meters_[item.info.target].OnCompletion(now);
+  RecordCrash(now, item, done, event);
   if (event.unreachable) {
     --item.arrivals;
   }
@@ -246,7 +249,7 @@
   }
   if (event.result == outcome::kAnswered) {
     replicas_.OnAnswered(now, done.index, event.failed_in_run);
-    LearnFromAnswer(now, item, done, event);
+    LearnFromResponse(now, item, done, event);
     ReportFinish(item, outcome::kAnswered, event.answer, out);
     ++counters_.answered;
     Erase(id);
@@ -269,10 +272,10 @@
   DrainQueue(now, out);
 }
 
-void request_router::LearnCrash(time_point now,
-                                const request& item,
-                                const attempt& done,
-                                const attempt_ended& event) {
+void request_router::RecordCrash(time_point now,
+                                 const request& item,
+                                 const attempt& done,
+                                 const attempt_ended& event) {
   const hash128& digest = item.info.request_digest;
   if (digest == hash128()) {
     return;
@@ -290,7 +293,7 @@
   }
 }
 
-uint64_t request_router::StartOf(const replica& item) {
+uint64_t request_router::UpstreamStartId(const replica& item) {
   return CombineHash(item.name_hash, item.started);
 }
 
@@ -307,12 +310,13 @@
   const request& item = found->second;
   std::vector<replica_index> excluded = item.excluded;
   excluded.push_back(item.running->index);
-  if (!MayRepeat(item) || !BudgetOf(item.info.target).CanSpend(now)) {
+  if (!MayRepeat(item) || !RetryBudgetFor(item.info.target).CanSpend(now)) {
     return false;
   }
   const eligible_replicas eligible = replicas_.ListEligible(
       now, item.info.target, AllowedDomains(item), excluded);
-  // One that takes nothing now by its own word is no better than waiting.
+  // A replica that is in backoff or over its rate limit is no better than
+  // waiting for the running attempt.
   return std::any_of(eligible.indices.begin(), eligible.indices.end(),
                      [&](replica_index index) {
                        return now >= replicas_[index].ClosedUntil();
@@ -330,7 +334,7 @@
     Refuse(id,
            {.status = status_code::kBadGateway,
             .retry_after_seconds = item.repeatable ? 1U : 0U,
-            .message = "the upstream's answer broke off"},
+            .message = "the upstream's response is incomplete"},
            out);
     return;
   }
@@ -339,12 +343,12 @@
     Refuse(id,
            {.status = status_code::kUnavailable,
             .retry_after_seconds = 1,
-            .message = "every upstream that was asked refused it",
+            .message = "every upstream that was tried refused the request",
             .retry_after = kUpstreamRetryAfter},
            out);
     return;
   }
-  if (!event.unreachable && !BudgetOf(item.info.target).TrySpend(now)) {
+  if (!event.unreachable && !RetryBudgetFor(item.info.target).TrySpend(now)) {
     Refuse(id,
            {.status = status_code::kUnavailable,
             .retry_after_seconds = EstimateRetryAfter(now, item),
@@ -353,7 +357,8 @@
     return;
   }
   ++counters_.retries;
-  // With every replica tried, better any of them again than none.
+  // If no other replica is eligible, one that failed before is better than
+  // none.
   if (!HasUpstream(now, item, item.excluded)) {
     item.excluded.clear();
   }
@@ -371,8 +376,8 @@
     }
   }
   for (const attempt_id id : late) {
-    // It waits in an engine's queue. Whether it has begun is not known, so
-    // what may not be repeated is told so.
+    // The attempt waits in an engine's queue. Whether it has begun there is
+    // unknown, so a request that may not be repeated ends as unknown.
     out.push_back(cancel_attempt{.attempt = id});
     OnAttemptEnded(now,
                    {.attempt = id,
@@ -384,12 +389,12 @@
 }
 
 void request_router::OnPeerPlacements(time_point now,
-                                      const peer_placements& told) {
-  replicas_.OnPeerPlacements(now, told);
-  kinds_.OnPeer(now, told.peer, told.mix);
-  for (const placed_prefix& item : told.prefixes) {
+                                      const peer_placements& report) {
+  replicas_.OnPeerPlacements(now, report);
+  prompt_lengths_.OnPeer(now, report.peer, report.mix);
+  for (const placed_prefix& item : report.prefixes) {
     if (const auto index = replicas_.FindByHash(item.upstream)) {
-      NotePeerPlacement(now, *index, item);
+      RecordPeerPlacement(now, *index, item);
     }
     if (item.saved_weights != kNoWeights) {
       prefixes_.NoteSaved(now, item.prefix, item.saved_weights);
@@ -397,20 +402,21 @@
   }
 }
 
-void request_router::NotePeerPlacement(time_point now,
-                                       replica_index index,
-                                       const placed_prefix& told) {
-  // The peer may know of a later start of the upstream, or of newer weights,
-  // or not yet of those known here. Of an earlier one nothing is left there,
-  // and it must not replace what is known of the present one.
+void request_router::RecordPeerPlacement(time_point now,
+                                         replica_index index,
+                                         const placed_prefix& placed) {
+  // The peer may know of a later incarnation of the upstream (a restart or new
+  // weights), or not yet of the current one. Nothing placed at an earlier
+  // incarnation is cached any more, so it must not replace what is known of the
+  // current one.
   const uint64_t present = replicas_[index].incarnation;
-  if (told.incarnation != present &&
-      FindHolder(prefixes_.Find(told.prefix), index, present) != nullptr) {
+  if (placed.incarnation != present &&
+      FindHolder(prefixes_.Find(placed.prefix), index, present) != nullptr) {
     return;
   }
   prefixes_.Touch(
-      told.prefix,
-      {.index = index, .incarnation = told.incarnation, .used_at = now});
+      placed.prefix,
+      {.index = index, .incarnation = placed.incarnation, .used_at = now});
 }
 
 void request_router::OnUpstreamLoad(time_point now, const upstream_load& load) {
--- a/lib/Core/request_notices.cc
+++ b/lib/Core/request_notices.cc
@@ -1,5 +1,5 @@
-// What upstreams say of themselves to this daemon alone, and which requests are
-// refused for it.
+// Backoff and leaving notices of upstreams, and the refusal of requests because
+// of backoffs and rate limits.
 #include <algorithm>
 #include <utility>
 
@@ -8,9 +8,9 @@
 
 namespace cuminswitch {
 
-/// Callers that are told to come back when upstreams take requests again are
-/// spread over this part of their wait.
-static constexpr double kReturnSpread = 0.25;
+/// Retry-After values for upstreams in backoff are prolonged by up to this
+/// share of the wait, so that the callers do not all retry at once.
+static constexpr double kRetryAfterSpread = 0.25;
 
 const request_router::attempt* request_router::FindAttempt(
     attempt_id id) const {
@@ -25,7 +25,7 @@
     return nullptr;
   }
   replica& item = replicas_.at(running->index);
-  return running->upstream_start == StartOf(item) ? &item : nullptr;
+  return running->upstream_start == UpstreamStartId(item) ? &item : nullptr;
 }
 
 void request_router::OnBackoffRequested(time_point now,
@@ -58,12 +58,12 @@
   if (best.backoff_until < best.limited_until) {
     Refuse(item.info.request,
            {.status = status_code::kTooManyRequests,
-            .message = "upstreams name limits",
+            .message = "the rate limits of upstreams are used up",
             .retry_after = wait},
            out);
     return true;
   }
-  const double spread = kReturnSpread * LuckOf(item);
+  const double spread = kRetryAfterSpread * HashFraction(item);
   Refuse(item.info.request,
          {.status = status_code::kUnavailable,
           .message = "upstreams asked for rest",
--- a/lib/Core/request_refusals.cc
+++ b/lib/Core/request_refusals.cc
@@ -1,5 +1,5 @@
-// Which requests end without an upstream's answer, and what their callers are
-// told.
+// Requests that end without an upstream's response, and the responses to their
+// callers.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -16,10 +16,11 @@
 
 double request_router::EstimateWaitSeconds(time_point now,
                                            const request& item) const {
-  const auto meter = meters_.find(item.info.target);
-  // A daemon that has just started knows no rate. Taking it for slow would
-  // refuse requests that only wait for the first load reports.
-  if (meter == meters_.end() || !meter->second.HasMeasured()) {
+  const auto meter = drain_meters_.find(item.info.target);
+  // A daemon that has just started has measured no rate. If the rate were
+  // assumed to be low, requests that only wait for the first load reports would
+  // be refused.
+  if (meter == drain_meters_.end() || !meter->second.HasMeasured()) {
     return 0;
   }
   const double rate = meter->second.RatePerSecond(now);
@@ -29,16 +30,16 @@
 
 uint32_t request_router::EstimateRetryAfter(time_point now,
                                             const request& item) const {
-  // The earliest time at which a request like this one would be taken: when
-  // enough of those ahead have been served.
+  // The earliest time at which a request like this one would be accepted: when
+  // enough of the requests ahead have been served.
   const double wait = EstimateWaitSeconds(now, item);
-  const double excess = wait - ToSeconds(item.info.time_limit) / 2;
+  const double retry_after = wait - ToSeconds(item.info.time_limit) / 2;
   return std::clamp<uint32_t>(
-      static_cast<uint32_t>(std::ceil(std::max(0.0, excess))), 1,
+      static_cast<uint32_t>(std::ceil(std::max(0.0, retry_after))), 1,
       kMaxRetryAfterSeconds);
 }
 
-double request_router::LuckOf(const request& item) {
+double request_router::HashFraction(const request& item) {
   return static_cast<double>(Hash64(item.info.target, item.info.request)) /
          static_cast<double>(UINT64_MAX);
 }
@@ -46,44 +47,45 @@
 bool request_router::ShedIfLate(time_point now,
                                 const request& item,
                                 const placement& chosen,
-                                double ahead,
+                                double local_queue_seconds,
                                 action_list& out) {
-  // What has been sent once has its part of the work done, or a repeat granted.
+  // For a request that was sent before, part of the work is done or a retry was
+  // granted.
   if (item.arrivals > 0 || item.info.prompt_tokens == 0) {
     return false;
   }
-  const double room =
+  const double capacity_seconds =
       chosen.must_wait ? replicas_.EstimateRoomSeconds(now, chosen.index) : 0;
-  const double computing =
+  const double prefill_seconds =
       (item.info.prompt_tokens - chosen.expected_cached_tokens) /
       replicas_[chosen.index].prefill_rate;
   expected_wait wait{.upstream = {},
                      .waited = now - ArrivedAt(item),
-                     .local_queue = FromSeconds(ahead),
-                     .capacity = FromSeconds(room),
+                     .local_queue = FromSeconds(local_queue_seconds),
+                     .capacity = FromSeconds(capacity_seconds),
                      .upstream_queue = FromSeconds(
                          replicas_.EstimateQueueSeconds(now, chosen.index)),
-                     .prefill = FromSeconds(computing),
+                     .prefill = FromSeconds(prefill_seconds),
                      .prediction_error = replicas_.MeanPredictionError(
                          now, item.info.target, PriorityOf(item)),
                      .target = item.info.target_latency};
-  const shedding_query question{
+  const shedding_query query{
       .waited = wait.waited,
       .expected = wait.Remaining(),
       .target = item.info.target_latency,
       .caller_idle_timeout = item.info.caller_idle_timeout,
       .priority = PriorityOf(item)};
-  if (LuckOf(item) >= RefusalChance(question)) {
+  if (HashFraction(item) >= RefusalChance(query)) {
     return false;
   }
   ++counters_.shed;
-  // For the log alone, so not worked out for requests that are taken.
+  // Only the log uses these, so they are not computed for accepted requests.
   wait.upstream = replicas_[chosen.index].spec.name;
   wait.peer_data_age = replicas_.OldestPeerBacklog(now);
   Refuse(item.info.request,
          {.status = status_code::kTooManyRequests,
-          .message = "it would be served too late",
-          .retry_after = RefusedRetryAfter(question),
+          .message = "the request would be served too late",
+          .retry_after = RefusedRetryAfter(query),
           .wait = wait},
          out);
   return true;
@@ -107,13 +109,13 @@
   return true;
 }
 
-outcome request_router::JudgeRefused(const request& item) {
+outcome request_router::ClassifyRefused(const request& item) {
   if (item.may_have_run) {
     return outcome::kUnknown;
   }
-  // "Not run" is about the order, which is the key. Unless the start was
-  // granted, or the caller has never sent the key, an earlier request with it
-  // may have run without this daemon's knowledge.
+  // "Not run" is a statement about the key, not about this request alone.
+  // Unless the start was granted, or the caller has never sent the key, an
+  // earlier request with the key may have run without this daemon's knowledge.
   const bool key_is_new = item.epoch != 0 || item.info.is_first_attempt;
   return item.once && !key_is_new ? outcome::kUnknown : outcome::kNotRun;
 }
@@ -122,11 +124,11 @@
                             const refusal& why,
                             action_list& out) {
   request& item = requests_.at(id);
-  const outcome result = JudgeRefused(item);
+  const outcome result = ClassifyRefused(item);
   const bool asked_for_start =
       item.once && item.config != nullptr && item.workspace != nullptr;
   if (asked_for_start && !item.may_have_run) {
-    // Nothing ran under the key and, with the request gone, nothing will.
+    // Nothing ran under the key, and nothing will, since the request ends here.
     ReleaseStart(item, out);
     abandoned_starts_[id] = {.shard = static_cast<shard_number>(
                                  item.key.high % options_.shard_count),
--- a/lib/Core/request_router.cc
+++ b/lib/Core/request_router.cc
@@ -11,10 +11,12 @@
 
 namespace cuminswitch {
 
-/// What reuse is worth beyond its time, by objective.
+/// Values of `placement_query::reuse_weight`, by routing objective: the cost of
+/// recomputing a rarely used prefix as a multiple of the time that it takes.
 static constexpr double kFirstTokenReuseWeight = 3.0;
 static constexpr double kReuseReuseWeight = 6.0;
-/// Batch work has time, so it always goes where its prefix is.
+/// Batch requests are not urgent, so they go to the replica with their prefix
+/// even if they have to wait there.
 static constexpr double kBatchReuseWeight = 12.0;
 static constexpr duration kQuarantineExpiryInterval = std::chrono::seconds(1);
 
@@ -27,8 +29,9 @@
       prefixes_({.capacity = opts.prefix_capacity}),
       quarantine_(opts.quarantine) {
   assert(policy_ != nullptr && "settings name an unknown routing policy");
-  // Attempt numbers of an earlier start of this daemon must never be met
-  // again: an upstream's late answer to one would count for a new request.
+  // Attempt numbers of an earlier incarnation of this daemon must not be
+  // reused: a late response to one would be taken for the response to a new
+  // request.
   next_attempt_ = opts.self.incarnation << 20;
 }
 
@@ -103,11 +106,12 @@
 }
 
 void request_router::PrepareLevels(request& item) const {
-  // Pools, models and adapters go into the hashes, so that no lookup crosses
-  // them. Versions of weights do not: a replica's incarnation tells them apart.
-  // With them in the hashes each naming moved all prefixes to new homes and
-  // hid what the replicas with the older weights had cached, for the seconds
-  // in which these still served most requests.
+  // Pools, models and adapters are part of the hashes, so that no lookup
+  // crosses them. Weights versions are not, since a replica's incarnation
+  // distinguishes them. With versions in the hashes, each publication of a
+  // version moved all prefixes to new preferred replicas and hid what the
+  // replicas with the older weights had cached, during the seconds in which
+  // these still served most requests.
   item.scope = CacheScope(item, {});
   for (prefix_level& level : item.info.levels) {
     level.hash = CombineHash(item.scope, level.hash);
@@ -146,13 +150,13 @@
   }
   PrepareLevels(item);
   if (event.prompt_tokens > 0) {
-    kinds_.CountPrompt(now, event.prompt_tokens);
+    prompt_lengths_.CountPrompt(now, event.prompt_tokens);
   }
   if (!item.once) {
     Admit(now, item, out);
     return;
   }
-  item.at = stage::kStarting;
+  item.current_stage = stage::kAwaitingStart;
   item.start_deadline = std::min(item.deadline, now + options_.start_timeout);
   item.key = Hash128(event.idempotency_key, item.workspace_hash);
   SendStartRequest(now, item, out);
@@ -190,7 +194,7 @@
   return item.info.priority.value_or(item.workspace->priority);
 }
 
-retry_budget& request_router::BudgetOf(const std::string& target) {
+retry_budget& request_router::RetryBudgetFor(const std::string& target) {
   const auto [found, is_new] = retries_.try_emplace(target, options_.retries);
   largest_fleet_ = std::max(largest_fleet_, members_.CountServing());
   found->second.SetFleetSize(static_cast<double>(largest_fleet_));
@@ -207,10 +211,13 @@
 }
 
 void request_router::Admit(time_point now, request& item, action_list& out) {
-  item.at = stage::kWaiting;
-  // A newcomer does not pass those that wait already and are as urgent.
+  item.current_stage = stage::kQueued;
+  // A new request does not overtake queued ones that are equally urgent.
   const bool is_first = queue_.CountAhead(MakeWaiting(item)) == 0;
-  if (TryPlace(now, item, is_first ? turn::kNow : turn::kAfterOthers, out)) {
+  if (TryPlace(
+          now, item,
+          is_first ? queue_position::kFirst : queue_position::kBehindOthers,
+          out)) {
     return;
   }
   Enqueue(now, item, out);
@@ -233,13 +240,13 @@
     Refuse(item.info.request,
            {.status = status_code::kUnavailable,
             .retry_after_seconds = 1,
-            .message = "no upstream can take it now",
+            .message = "no upstream can accept the request now",
             .retry_after = kUpstreamRetryAfter},
            out);
     return;
   }
-  const double patience = ToSeconds(item.deadline - now);
-  if (EstimateWaitSeconds(now, item) > patience) {
+  const double max_wait = ToSeconds(item.deadline - now);
+  if (EstimateWaitSeconds(now, item) > max_wait) {
     ++counters_.shed;
     Refuse(item.info.request,
            {.status = status_code::kTooManyRequests,
@@ -253,13 +260,14 @@
 
 bool request_router::TryPlace(time_point now,
                               request& item,
-                              turn at,
+                              queue_position position,
                               action_list& out) {
   if (RefuseIfQuarantined(now, item, out)) {
     return true;
   }
-  if (!item.counted && !limiter_.HasRoom(now, item.workspace_hash,
-                                         item.workspace->max_in_flight)) {
+  if (!item.is_counted_in_flight &&
+      !limiter_.HasRoom(now, item.workspace_hash,
+                        item.workspace->max_in_flight)) {
     return false;
   }
   const eligible_replicas eligible = replicas_.ListEligible(
@@ -267,32 +275,33 @@
   if (eligible.indices.empty()) {
     return false;
   }
-  // Requests without a prompt go to services, which are of no kind.
+  // Requests without a prompt go to services, which have no length classes.
   if (item.info.prompt_tokens > 0) {
     short_share_ =
-        kinds_.ShortShare(now, replicas_.CountSlots(item.info.target));
-  }
-  const placement chosen =
-      policy_->Choose({.now = now,
-                       .levels = item.info.levels,
-                       .prompt_tokens = item.info.prompt_tokens,
-                       .eligible = eligible.indices,
-                       .has_room = eligible.has_room,
-                       .penalty_seconds = eligible.penalty_seconds,
-                       .weights = eligible.weights,
-                       .replicas = replicas_,
-                       .prefixes = prefixes_,
-                       .failure_domain = options_.self.failure_domain,
-                       .copy_rate = CopyRate(item),
-                       .reuse_weight = ReuseWeight(item),
-                       .short_share = short_share_,
-                       .is_long = kinds_.IsLong(now, item.info.prompt_tokens)});
-  // Those ahead of it go to the same replicas.
-  const double ahead = at == turn::kNow ? 0 : EstimateWaitSeconds(now, item);
-  if (ShedIfLate(now, item, chosen, ahead, out)) {
+        prompt_lengths_.ShortShare(now, replicas_.CountSlots(item.info.target));
+  }
+  const placement chosen = policy_->Choose(
+      {.now = now,
+       .levels = item.info.levels,
+       .prompt_tokens = item.info.prompt_tokens,
+       .eligible = eligible.indices,
+       .has_room = eligible.has_room,
+       .penalty_seconds = eligible.penalty_seconds,
+       .weights = eligible.weights,
+       .replicas = replicas_,
+       .prefixes = prefixes_,
+       .failure_domain = options_.self.failure_domain,
+       .copy_rate = CopyRate(item),
+       .reuse_weight = ReuseWeight(item),
+       .short_share = short_share_,
+       .is_long = prompt_lengths_.IsLong(now, item.info.prompt_tokens)});
+  // The requests ahead of it in the queue go to the same replicas.
+  const double local_queue_seconds =
+      position == queue_position::kFirst ? 0 : EstimateWaitSeconds(now, item);
+  if (ShedIfLate(now, item, chosen, local_queue_seconds, out)) {
     return true;
   }
-  if (at == turn::kAfterOthers) {
+  if (position == queue_position::kBehindOthers) {
     return false;
   }
   if (chosen.must_wait) {
@@ -302,12 +311,12 @@
     replicas_.CountQueued(chosen.index);
     return false;
   }
-  SendOrAsk(now, item, chosen, eligible, out);
+  SendOrRequestPermit(now, item, chosen, eligible, out);
   return true;
 }
 
 prompt_mix request_router::OwnMix(time_point now) const {
-  prompt_mix mix = kinds_.Own(now);
+  prompt_mix mix = prompt_lengths_.Own(now);
   mix.reserves_engines = short_share_ > 0;
   return mix;
 }
@@ -318,7 +327,8 @@
     return;
   }
   queue_.Drain([&](const waiting_request& waiting) {
-    return TryPlace(now, requests_.at(waiting.request), turn::kNow, out);
+    return TryPlace(now, requests_.at(waiting.request), queue_position::kFirst,
+                    out);
   });
 }
 
@@ -330,14 +340,14 @@
     return;
   }
   request& item = found->second;
-  if (item.at != stage::kRunning) {
+  if (item.current_stage != stage::kRunning) {
     queue_.Remove(event.request);
     Refuse(event.request, {.status = 499, .message = "the caller left"}, out);
     return;
   }
   item.caller_gone = true;
   if (item.once) {
-    // It runs on: its answer is kept for the caller's repeat.
+    // It continues, and its response is recorded for a repeated request.
     return;
   }
   const attempt running = *std::exchange(item.running, std::nullopt);
@@ -353,7 +363,7 @@
 
 void request_router::Erase(request_id id) {
   const auto found = requests_.find(id);
-  if (found->second.counted) {
+  if (found->second.is_counted_in_flight) {
     limiter_.OnEnd(found->second.workspace_hash);
   }
   requests_.erase(found);
@@ -378,7 +388,7 @@
     Refuse(expired.request,
            {.status = status_code::kUnavailable,
             .retry_after_seconds = EstimateRetryAfter(now, item),
-            .message = "no upstream had room in time"},
+            .message = "no upstream had capacity in time"},
            out);
   }
   ExpireStarts(now, out);
--- a/lib/Core/request_starts.cc
+++ b/lib/Core/request_starts.cc
@@ -1,5 +1,5 @@
-// The start of requests that run at most once per key: asked of the key's
-// owner, granted, given back.
+// Start grants of requests that run at most once per key: requested from the
+// owner of the key's shard, granted, and released if unused.
 #include <algorithm>
 #include <utility>
 
@@ -13,8 +13,8 @@
 static constexpr uint32_t kUnprocessable = 422;
 static constexpr duration kStartRequestInterval =
     std::chrono::milliseconds(300);
-/// Longer than a new owner takes to be found.
-static constexpr uint32_t kStartRetrySeconds = 3;
+/// Longer than it takes until a shard has a new owner.
+static constexpr uint32_t kStartRetryAfterSeconds = 3;
 
 shard_number request_router::ShardOf(const request& item) const {
   return static_cast<shard_number>(item.key.high % options_.shard_count);
@@ -68,10 +68,11 @@
                                   const start_reply& reply,
                                   action_list& out) {
   const auto found = requests_.find(reply.request);
-  if (found == requests_.end() || found->second.at != stage::kStarting) {
-    // A grant that comes after the request was given up on would leave its
-    // key started for ever although nothing ran: give it back. One that was
-    // used must never be given back, so only abandoned starts are.
+  if (found == requests_.end() ||
+      found->second.current_stage != stage::kAwaitingStart) {
+    // A grant that arrives after the request was refused would leave the key
+    // started forever although nothing ran, so it is released. A grant that was
+    // used must never be released, so only those of abandoned starts are.
     const auto abandoned = abandoned_starts_.find(reply.request);
     if (abandoned != abandoned_starts_.end() &&
         reply.verdict == start_result::kGranted) {
@@ -104,7 +105,7 @@
              out);
       return;
     case start_result::kMismatch:
-      // The key belongs to another request; this one never ran.
+      // The key belongs to another request, so this one has never run.
       item.info.is_first_attempt = true;
       Refuse(reply.request,
              {.status = kUnprocessable,
@@ -117,7 +118,7 @@
              {.status = status_code::kConflict,
               .retry_after_seconds = 1,
               .message = "a request with this Idempotency-Key was started; "
-                         "its end is not known here"},
+                         "its result is not known"},
              out);
       return;
     case start_result::kAnswered:
@@ -153,7 +154,7 @@
 void request_router::ExpireStarts(time_point now, action_list& out) {
   std::vector<request_id> late;
   for (auto& [id, item] : requests_) {
-    if (item.at != stage::kStarting) {
+    if (item.current_stage != stage::kAwaitingStart) {
       continue;
     }
     if (IsStartOver(now, item)) {
@@ -170,7 +171,7 @@
 void request_router::RefuseLateStart(request_id id, action_list& out) {
   Refuse(id,
          {.status = status_code::kUnavailable,
-          .retry_after_seconds = kStartRetrySeconds,
+          .retry_after_seconds = kStartRetryAfterSeconds,
           .message = "the start could not be recorded in time"},
          out);
 }
--- a/lib/Core/router_constants.h
+++ b/lib/Core/router_constants.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the parts of the request router share.
+/// Constants that several source files of the request router use.
 #ifndef CUMINSWITCH_LIB_CORE_ROUTER_CONSTANTS_H_
 #define CUMINSWITCH_LIB_CORE_ROUTER_CONSTANTS_H_
 
@@ -9,8 +9,8 @@
 
 namespace cuminswitch {
 
-/// When to come back where no upstream can take a request: crashed ones are
-/// replaced, and ejected ones tried again, within about a second.
+/// Retry-After if no upstream is available: crashed upstreams are replaced, and
+/// ejected ones tried again, within about a second.
 inline constexpr duration kUpstreamRetryAfter = std::chrono::milliseconds(500);
 
 }  // namespace cuminswitch
--- a/lib/Core/upstream_prober.cc
+++ b/lib/Core/upstream_prober.cc
@@ -35,7 +35,7 @@
   const target& item = targets_[next_++ % targets_.size()];
   out.push_back(probe_upstream{.upstream = item.name, .address = item.address});
   const double interval =
-      std::max(1 / options_.max_rate, ToSeconds(options_.least_interval) /
+      std::max(1 / options_.max_rate, ToSeconds(options_.min_interval) /
                                           static_cast<double>(targets_.size()));
   next_probe_ = now + FromSeconds(interval);
 }
