--- a/lib/Core/request_attempts.cc
+++ b/lib/Core/request_attempts.cc
@@ -334,7 +334,7 @@
     Refuse(id,
            {.status = status_code::kBadGateway,
             .retry_after_seconds = item.repeatable ? 1U : 0U,
-            .message = "the upstream's response is incomplete"},
+            .message = "the upstream's answer broke off"},
            out);
     return;
   }
@@ -343,7 +343,7 @@
     Refuse(id,
            {.status = status_code::kUnavailable,
             .retry_after_seconds = 1,
-            .message = "every upstream that was tried refused the request",
+            .message = "every upstream that was asked refused it",
             .retry_after = kUpstreamRetryAfter},
            out);
     return;
--- a/lib/Core/request_notices.cc
+++ b/lib/Core/request_notices.cc
@@ -58,7 +58,7 @@
   if (best.backoff_until < best.limited_until) {
     Refuse(item.info.request,
            {.status = status_code::kTooManyRequests,
-            .message = "the rate limits of upstreams are used up",
+            .message = "upstreams name limits",
             .retry_after = wait},
            out);
     return true;
--- a/lib/Core/request_refusals.cc
+++ b/lib/Core/request_refusals.cc
@@ -84,7 +84,7 @@
   wait.peer_data_age = replicas_.OldestPeerBacklog(now);
   Refuse(item.info.request,
          {.status = status_code::kTooManyRequests,
-          .message = "the request would be served too late",
+          .message = "it would be served too late",
           .retry_after = RefusedRetryAfter(query),
           .wait = wait},
          out);
--- a/lib/Core/request_router.cc
+++ b/lib/Core/request_router.cc
@@ -240,7 +240,7 @@
     Refuse(item.info.request,
            {.status = status_code::kUnavailable,
             .retry_after_seconds = 1,
-            .message = "no upstream can accept the request now",
+            .message = "no upstream can take it now",
             .retry_after = kUpstreamRetryAfter},
            out);
     return;
@@ -388,7 +388,7 @@
     Refuse(expired.request,
            {.status = status_code::kUnavailable,
             .retry_after_seconds = EstimateRetryAfter(now, item),
-            .message = "no upstream had capacity in time"},
+            .message = "no upstream had room in time"},
            out);
   }
   ExpireStarts(now, out);
--- a/lib/Core/request_starts.cc
+++ b/lib/Core/request_starts.cc
@@ -118,7 +118,7 @@
              {.status = status_code::kConflict,
               .retry_after_seconds = 1,
               .message = "a request with this Idempotency-Key was started; "
-                         "its result is not known"},
+                         "its end is not known here"},
              out);
       return;
     case start_result::kAnswered:
