--- a/test/soak/crash_check.h
+++ b/test/soak/crash_check.h
@@ -1,5 +1,5 @@
 /// \file
-/// Whether a request that crashes upstreams is kept away from them.
+/// Checks that a request that crashes upstreams is quarantined.
 #ifndef CUMINSWITCH_TEST_SOAK_CRASH_CHECK_H_
 #define CUMINSWITCH_TEST_SOAK_CRASH_CHECK_H_
 
@@ -12,21 +12,25 @@
 
 namespace cuminswitch::soak {
 
-/// Counts the upstreams that crashed under each request, whichever daemon sent
-/// it. What daemons send that were disturbed is not counted.
+/// Counts the upstreams that each request has crashed, over all daemons. A
+/// crash under a request of a daemon that a fault disturbs, or did shortly
+/// before, is counted but never reported as a violation.
 class crash_check {
  public:
-  /// An upstream crashed under \p request. Returns what is wrong, if it is one
-  /// too many.
+  /// Records that \p request crashed an upstream at \p at. Returns a
+  /// description of the violation if this is one crash more than allowed.
   std::optional<std::string> OnCrash(const std::string& request,
-                                     bool is_daemon_sound,
-                                     wall_time at);
+                                     bool is_daemon_undisturbed,
+                                     steady_time at);
+  /// Crashes recorded so far.
   size_t counted() const { return counted_; }
 
  private:
   struct crash_count {
     int crashes = 0;
-    wall_time third{};
+    /// When the last allowed crash, the third, was recorded.
+    steady_time third_at{};
+    /// Crashes after the quarantine must have reached all daemons.
     int late = 0;
   };
 
--- a/test/soak/departure_check.cc
+++ b/test/soak/departure_check.cc
@@ -2,24 +2,25 @@
 
 namespace cuminswitch::soak {
 
-/// From the acknowledgement until no request may come any more.
+/// Time after the store's acknowledgement during which requests may still
+/// arrive.
 static constexpr std::chrono::milliseconds kDrainTime{2'000};
 
 void departure_check::OnAcknowledged(const std::string& upstream,
-                                     wall_time at) {
+                                     steady_time at) {
   acknowledged_[upstream] = at;
 }
 
 std::optional<std::string> departure_check::OnArrival(
     const std::string& upstream,
-    wall_time at,
-    bool is_in_touch) {
+    steady_time at,
+    bool has_store_contact) {
   const auto found = acknowledged_.find(upstream);
   if (found == acknowledged_.end() || at <= found->second + kDrainTime) {
     return std::nullopt;
   }
   ++late_;
-  if (!is_in_touch) {
+  if (!has_store_contact) {
     return std::nullopt;
   }
   const auto after =
--- a/test/soak/departure_check.h
+++ b/test/soak/departure_check.h
@@ -1,6 +1,6 @@
 /// \file
-/// Whether daemons heed that the store lists an upstream as draining, or no
-/// more.
+/// Checks that daemons stop sending requests to an upstream whose store entry
+/// is draining or removed.
 #ifndef CUMINSWITCH_TEST_SOAK_DEPARTURE_CHECK_H_
 #define CUMINSWITCH_TEST_SOAK_DEPARTURE_CHECK_H_
 
@@ -13,24 +13,28 @@
 
 namespace cuminswitch::soak {
 
-/// Holds the requests that upstreams get against the store's acknowledgements.
+/// Compares the arrival times of requests at departed upstreams with the time
+/// at which the store acknowledged the departure.
 class departure_check {
  public:
-  /// The store acknowledged at \p at that \p upstream departs. A later one of
-  /// the same upstream counts, where an earlier write was undone.
-  void OnAcknowledged(const std::string& upstream, wall_time at);
-  /// A request reached \p upstream at \p at. Returns what is wrong, if
-  /// anything is: the daemon that sent it must have been in touch.
+  /// Records that the store acknowledged the departure of \p upstream at \p at.
+  /// A later acknowledgement replaces an earlier one, since the write that was
+  /// acknowledged first may have been undone.
+  void OnAcknowledged(const std::string& upstream, steady_time at);
+  /// Records that a request reached \p upstream at \p at. Returns a description
+  /// of the violation if it arrived too late although the daemon that sent it
+  /// had contact with the store.
   std::optional<std::string> OnArrival(const std::string& upstream,
-                                       wall_time at,
-                                       bool is_in_touch);
-  /// Departures that the store has acknowledged.
+                                       steady_time at,
+                                       bool has_store_contact);
+  /// Number of departures that the store has acknowledged.
   size_t counted() const { return acknowledged_.size(); }
-  /// Requests that came too late, of all daemons.
+  /// Number of requests that arrived too late, including those of daemons
+  /// without contact with the store.
   size_t late() const { return late_; }
 
  private:
-  std::map<std::string, wall_time> acknowledged_;
+  std::map<std::string, steady_time> acknowledged_;
   size_t late_ = 0;
 };
 
--- a/test/soak/deployment.cc
+++ b/test/soak/deployment.cc
@@ -16,29 +16,31 @@
 using nlohmann::json;
 
 static constexpr std::chrono::milliseconds kWriteTimeout{400};
-/// A disturbance's effects on a daemon last a while: it catches up, and its
-/// peers notice.
-static constexpr std::chrono::seconds kCalmAfter{3};
-/// An upstream that crashed is back after so long.
+/// Time that a fault still affects a daemon after its end: the daemon catches
+/// up, and its peers detect the change.
+static constexpr std::chrono::seconds kSettleTime{3};
+/// Time from the crash of an upstream to its restart.
 static constexpr std::chrono::milliseconds kCrashTime{1'500};
 
-static std::string RemovalOf(const std::string& key) {
+static std::string MakeRemoval(const std::string& key) {
   return json({{"precondition", json::array()},
                {"puts", json::array()},
                {"remove", {key}}})
       .dump();
 }
 
-deployment::deployment(event_base* base, options opts, promise_ledger& ledger)
-    : base_(base), options_(std::move(opts)), ledger_(ledger), caller_(base) {
+deployment::deployment(event_base* base,
+                       options opts,
+                       guarantee_checker& checker)
+    : base_(base), options_(std::move(opts)), checker_(checker), caller_(base) {
   const std::string log = options_.work_folder + "/store.log";
   processes.Start("store",
                   {options_.build_folder + "/utils/store_stand_in", "--second",
                    "127.0.0.1:0"},
                   log);
-  store_ = AwaitListening(log, "listening on ");
-  sound_store_ = AwaitListening(log, "also listening on ");
-  PostFault("none&at=" + sound_store_.ToString());
+  store_ = WaitForAddress(log, "listening on ");
+  reliable_store_ = WaitForAddress(log, "also listening on ");
+  PostFault("none&at=" + reliable_store_.ToString());
   PutConfiguration(true);
   for (int i = 0; i < options_.engines + options_.services; ++i) {
     upstream_state& item = upstreams.emplace_back();
@@ -47,12 +49,12 @@
     StartUpstream(static_cast<size_t>(i));
   }
   const size_t count = static_cast<size_t>(options_.daemons);
-  constexpr size_t kPortsEach = 5;
-  const std::vector<uint16_t> ports = FindFreePorts(kPortsEach * count);
+  constexpr size_t kPortsPerDaemon = 5;
+  const std::vector<uint16_t> ports = FindFreePorts(kPortsPerDaemon * count);
   for (size_t i = 0; i < count; ++i) {
-    const auto at = [&](size_t place) {
+    const auto at = [&](size_t offset) {
       return endpoint{.address = "127.0.0.1",
-                      .port = ports[kPortsEach * i + place]};
+                      .port = ports[kPortsPerDaemon * i + offset]};
     };
     daemon_state& item = daemons.emplace_back();
     item.name = "daemon-" + std::to_string(i);
@@ -76,27 +78,28 @@
   }
 }
 
-endpoint deployment::AwaitListening(const std::string& log,
-                                    std::string_view mark) {
+endpoint deployment::WaitForAddress(const std::string& log,
+                                    std::string_view prefix) {
   constexpr int kRounds = 2'000;
   for (int i = 0; i < kRounds; ++i) {
     std::ifstream file(log);
     std::string line;
     while (std::getline(file, line) && !file.eof()) {
-      if (line.starts_with(mark)) {
-        return ParseEndpoint(line.substr(mark.size())).value();
+      if (line.starts_with(prefix)) {
+        return ParseEndpoint(line.substr(prefix.size())).value();
       }
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
-  throw std::runtime_error("no stand-in listens, see " + log);
+  throw std::runtime_error(
+      "stand-in did not print a listening address within 10 s, see " + log);
 }
 
 void deployment::StartDaemon(size_t index) {
   daemon_state& item = daemons[index];
   ++item.start;
-  item.is_ending = false;
-  item.pauses = 0;
+  item.is_terminating = false;
+  item.active_pauses = 0;
   item.disturbed_at = std::chrono::steady_clock::now();
   processes.Start(item.name, item.command,
                   options_.work_folder + "/" + item.name + ".log");
@@ -115,20 +118,20 @@
     command.insert(command.end(), {"--model", "m"});
   }
   processes.Start(item.name, command, item.log);
-  item.address = AwaitListening(item.log, "listening on ");
+  item.address = WaitForAddress(item.log, "listening on ");
   if (item.link == nullptr) {
     item.link = std::make_unique<fault_proxy>(base_, item.address);
   }
   item.link->SetTarget(item.address);
   item.lines = std::ifstream(item.log);
-  item.is_listed = true;
+  item.is_registered = true;
   item.is_draining = false;
   item.is_paused = false;
   item.is_departing = false;
-  List(item);
+  Register(item);
 }
 
-void deployment::List(upstream_state& item, std::function<void()> on_done) {
+void deployment::Register(upstream_state& item, std::function<void()> on_done) {
   json entry = {{"backend", item.is_engine ? "engines" : "orders"},
                 {"address", item.link->address().ToString()},
                 {"zone", "z0"},
@@ -136,7 +139,7 @@
                 {"slots", 64},
                 {"cold-left-ms", 0},
                 {"state", item.is_draining ? "draining" : "ready"},
-                {"seq", ++item.beats},
+                {"seq", ++item.heartbeats},
                 {"models", json::array()}};
   if (item.is_engine) {
     entry["models"].push_back({{"name", "m"}, {"version", item.version}});
@@ -147,35 +150,36 @@
 void deployment::Depart(size_t index, departure how) {
   upstream_state& item = upstreams[index];
   item.is_departing = true;
-  Control(index, "departed/1");
+  SendControl(index, "departed/1");
   const auto note = [this, id = item.id] {
-    ledger_.OnDepartureAcknowledged(id, std::chrono::steady_clock::now());
+    checker_.OnDepartureAcknowledged(id, std::chrono::steady_clock::now());
   };
   if (how == departure::kDraining) {
     item.is_draining = true;
-    List(item, note);
+    Register(item, note);
     return;
   }
-  item.is_listed = false;
+  item.is_registered = false;
   const std::string key = "servers/" + item.id;
-  // Nothing brings its entry back.
+  // Drops its pending writes, which would add the entry again. A write in
+  // progress stays.
   std::erase_if(writes_, [&](const pending_write& write) {
     return write.key == key && !(is_writing_ && &write == &writes_.front());
   });
-  if (how == departure::kLapsed) {
-    caller_.Call({.to = sound_store_,
+  if (how == departure::kExpired) {
+    caller_.Call({.to = reliable_store_,
                   .method = http_method::kPost,
                   .path = "/kv-txn",
                   .headers = {},
-                  .body = RemovalOf(key),
+                  .body = MakeRemoval(key),
                   .idle_timeout = kWriteTimeout},
                  [note](const platform::json_answer& /*answer*/) { note(); });
   }
   Remove(key, note);
 }
 
-void deployment::Unlist(size_t index) {
-  upstreams[index].is_listed = false;
+void deployment::Deregister(size_t index) {
+  upstreams[index].is_registered = false;
   Remove("servers/" + upstreams[index].id);
 }
 
@@ -192,59 +196,60 @@
       std::string id;
       std::string workspace;
       words >> id >> workspace;
-      ledger_.OnRun(id, workspace, item.id);
-      const endpoint* daemon = ledger_.DaemonOf(id);
-      ledger_.OnMaybeCrash(
+      checker_.OnRun(id, workspace, item.id);
+      const endpoint* daemon = checker_.DaemonOf(id);
+      checker_.OnPossibleCrash(
           id, daemon != nullptr &&
-                  IsSound(*daemon, std::chrono::steady_clock::now()));
+                  IsUndisturbed(*daemon, std::chrono::steady_clock::now()));
     } else if (what == "order") {
       std::string holder;
       uint64_t fence = 0;
       words >> holder >> fence >> item.version;
-      ledger_.OnOrder(item.id, holder, fence);
+      checker_.OnEngineCommand(item.id, holder, fence);
     } else if (what == "limited" || what == "rested" || what == "left" ||
                what == "departed") {
-      ReadNoticed(item, what, words);
+      ReadFeedbackLine(item, what, words);
     }
   }
-  // A line that is not whole yet is read again.
+  // An incomplete last line is read again at the next call.
   item.lines.clear();
   item.lines.seekg(begin);
 }
 
-void deployment::ReadNoticed(const upstream_state& item,
-                             const std::string& what,
-                             std::istream& words) {
+void deployment::ReadFeedbackLine(const upstream_state& item,
+                                  const std::string& what,
+                                  std::istream& words) {
   std::string id;
   int64_t time_ms = 0;
-  double figure = 0;
-  words >> id >> time_ms >> figure;
-  const wall_time at{std::chrono::milliseconds(time_ms)};
-  const endpoint* daemon = ledger_.DaemonOf(id);
+  double value = 0;
+  words >> id >> time_ms >> value;
+  const steady_time at{std::chrono::milliseconds(time_ms)};
+  const endpoint* daemon = checker_.DaemonOf(id);
   if (daemon == nullptr) {
     return;
   }
   if (what == "departed") {
-    ledger_.OnArrivalAtDeparted(item.id, at, IsInTouch(*daemon, at));
+    checker_.OnArrivalAtDeparted(item.id, at, HasStoreContact(*daemon, at));
     return;
   }
-  if (!IsSound(*daemon, at)) {
+  if (!IsUndisturbed(*daemon, at)) {
     return;
   }
   if (what == "limited") {
-    ledger_.OnLimited(
-        {.upstream = item.id, .daemon = *daemon, .at = at, .rate = figure});
+    checker_.OnLimitedArrival(
+        {.upstream = item.id, .daemon = *daemon, .at = at, .rate = value});
     return;
   }
-  const notice_arrival arrival{.upstream = item.id,
-                               .daemon = *daemon,
-                               .at = at,
-                               .calm_since = CalmSince(*daemon)};
+  const feedback_arrival arrival{
+      .upstream = item.id,
+      .daemon = *daemon,
+      .at = at,
+      .undisturbed_since = UndisturbedSince(*daemon)};
   if (what == "rested") {
-    ledger_.OnRested(arrival,
-                     std::chrono::milliseconds(static_cast<int64_t>(figure)));
+    checker_.OnBackoffRequested(
+        arrival, std::chrono::milliseconds(static_cast<int64_t>(value)));
   } else {
-    ledger_.OnLeft(arrival);
+    checker_.OnLeavingArrival(arrival);
   }
 }
 
@@ -252,7 +257,7 @@
   upstream_state& item = upstreams[index];
   if (item.restart_at && std::chrono::steady_clock::now() >= *item.restart_at) {
     item.restart_at.reset();
-    Unlist(index);
+    Deregister(index);
     StartUpstream(index);
   }
 }
@@ -261,10 +266,11 @@
   SendNextWrite();
   for (upstream_state& item : upstreams) {
     ReadLog(item);
-    const bool beats = item.is_listed && !item.is_paused &&
-                       processes.IsRunning(item.name) && writes_.size() < 64;
-    if (beats) {
-      List(item);
+    const bool sends_heartbeat = item.is_registered && !item.is_paused &&
+                                 processes.IsRunning(item.name) &&
+                                 writes_.size() < 64;
+    if (sends_heartbeat) {
+      Register(item);
     }
   }
   for (size_t i = 0; i < upstreams.size(); ++i) {
@@ -272,8 +278,8 @@
   }
   for (const std::string& ended : processes.Reap()) {
     for (upstream_state& item : upstreams) {
-      if (item.name == ended && item.is_listed) {
-        item.is_listed = false;
+      if (item.name == ended && item.is_registered) {
+        item.is_registered = false;
         item.restart_at = std::chrono::steady_clock::now() + kCrashTime;
       }
     }
@@ -326,7 +332,7 @@
   Put("op/config", document.dump());
 }
 
-void deployment::NameWeights(int version) {
+void deployment::PublishWeights(int version) {
   weights_ = version;
   Put("op/version/m", json({{"model", "m"}, {"version", version}}).dump());
 }
@@ -345,7 +351,7 @@
 }
 
 void deployment::Remove(const std::string& key, std::function<void()> on_done) {
-  Write({.key = key, .body = RemovalOf(key), .on_done = std::move(on_done)});
+  Write({.key = key, .body = MakeRemoval(key), .on_done = std::move(on_done)});
 }
 
 void deployment::Write(pending_write write) {
@@ -371,7 +377,7 @@
 }
 
 void deployment::OnWritten(const platform::json_answer& answer) {
-  // Without an answer it is written once more, in its place.
+  // A write without a reply stays first in the queue and is retried.
   if (!answer.is_whole || answer.status != 200) {
     return;
   }
@@ -384,7 +390,7 @@
 
 void deployment::SetStoreFault(const std::string& mode) {
   is_store_faulty_ = mode != "none";
-  DisturbStore();
+  MarkStoreDisturbed();
   PostFault(mode);
 }
 
@@ -398,12 +404,12 @@
                [](const platform::json_answer& /*answer*/) {});
 }
 
-void deployment::HarmStoreLink(size_t index, link_fault fault) {
-  daemons[index].cut_at = std::chrono::steady_clock::now();
+void deployment::InjectStoreLinkFault(size_t index, link_fault fault) {
+  daemons[index].store_link_changed_at = std::chrono::steady_clock::now();
   daemons[index].store->SetFault(fault);
 }
 
-void deployment::Control(size_t index, const std::string& what) {
+void deployment::SendControl(size_t index, const std::string& what) {
   caller_.Call({.to = upstreams[index].address,
                 .method = http_method::kGet,
                 .path = "/control/" + what,
@@ -413,19 +419,19 @@
                [](const platform::json_answer& /*answer*/) {});
 }
 
-void deployment::EndDaemon(size_t index, int signal) {
-  daemons[index].is_ending = true;
+void deployment::TerminateDaemon(size_t index, int signal) {
+  daemons[index].is_terminating = true;
   processes.Signal(daemons[index].name, signal);
 }
 
 void deployment::PauseDaemon(size_t index) {
-  ++daemons[index].pauses;
+  ++daemons[index].active_pauses;
   processes.Signal(daemons[index].name, SIGSTOP);
 }
 
 void deployment::ResumeDaemon(size_t index) {
   daemon_state& item = daemons[index];
-  item.pauses = std::max(0, item.pauses - 1);
+  item.active_pauses = std::max(0, item.active_pauses - 1);
   item.disturbed_at = std::chrono::steady_clock::now();
   processes.Signal(item.name, SIGCONT);
 }
@@ -436,20 +442,20 @@
       [&](const daemon_state& item) { return item.front == front; });
 }
 
-bool deployment::IsSound(const endpoint& front, wall_time since) const {
+bool deployment::IsUndisturbed(const endpoint& front, steady_time since) const {
   const daemon_state& item = DaemonAt(front);
-  return !item.is_ending && item.pauses == 0 &&
-         item.disturbed_at + kCalmAfter < since;
+  return !item.is_terminating && item.active_pauses == 0 &&
+         item.disturbed_at + kSettleTime < since;
 }
 
-bool deployment::IsInTouch(const endpoint& front, wall_time at) const {
+bool deployment::HasStoreContact(const endpoint& front, steady_time at) const {
   const daemon_state& item = DaemonAt(front);
-  return IsSound(front, at) && item.store->fault() == link_fault::kNone &&
-         item.cut_at + kCalmAfter < at && !is_store_faulty_ &&
-         store_disturbed_at_ + kCalmAfter < at;
+  return IsUndisturbed(front, at) && item.store->fault() == link_fault::kNone &&
+         item.store_link_changed_at + kSettleTime < at && !is_store_faulty_ &&
+         store_disturbed_at_ + kSettleTime < at;
 }
 
-wall_time deployment::CalmSince(const endpoint& front) const {
+steady_time deployment::UndisturbedSince(const endpoint& front) const {
   return DaemonAt(front).disturbed_at;
 }
 
--- a/test/soak/deployment.h
+++ b/test/soak/deployment.h
@@ -1,5 +1,5 @@
 /// \file
-/// The system and its surroundings as processes on one machine.
+/// Runs the daemons, the store and the upstreams as processes on one machine.
 #ifndef CUMINSWITCH_TEST_SOAK_DEPLOYMENT_H_
 #define CUMINSWITCH_TEST_SOAK_DEPLOYMENT_H_
 
@@ -19,60 +19,68 @@
 
 namespace cuminswitch::soak {
 
-/// One daemon: where it serves, and since when nothing disturbs it.
+/// One daemon: its addresses, its process and the faults that act on it.
 struct daemon_state {
   std::string name;
+  /// Where it accepts callers.
   endpoint front;
   endpoint ready;
+  /// Its connection to the store.
   std::unique_ptr<fault_proxy> store;
+  /// Path of its settings file.
   std::string settings;
   std::vector<std::string> command;
-  wall_time disturbed_at{};
-  /// It was told to end, or killed, and has not been started again.
-  bool is_ending = false;
-  /// Pauses that last.
-  int pauses = 0;
-  /// Of its process.
+  /// When it was last started or resumed after a pause.
+  steady_time disturbed_at{};
+  /// Was sent SIGTERM or SIGKILL and has not been restarted yet.
+  bool is_terminating = false;
+  /// Pauses in progress, which may overlap.
+  int active_pauses = 0;
+  /// Number of its process, counted from 1.
   int start = 0;
-  /// When its way to the store was last harmed, or mended.
-  wall_time cut_at{};
+  /// When a fault on its connection to the store last began or ended.
+  steady_time store_link_changed_at{};
 };
 
-/// How the store learns that an upstream departs.
+/// How the departure of an upstream is written to the store.
 enum class departure : uint8_t {
-  /// Its entry says so, and stays.
+  /// Its entry stays, in the state "draining".
   kDraining,
   /// Its entry is removed.
   kRemoved,
-  /// The same, by the store itself, whatever the fault of its calls.
-  kLapsed,
+  /// Its entry is removed even while calls to the store fail, as when the store
+  /// expires it.
+  kExpired,
 };
 
-/// One upstream: its present process, and what the store lists of it.
+/// One upstream: its current process and its entry in the store.
 struct upstream_state {
   std::string name;
   bool is_engine = false;
-  /// Of its process; the identity is the name and this.
+  /// Number of its process, counted from 1; part of its id.
   int start = 0;
   std::string id;
+  /// The proxy through which daemons reach it.
   std::unique_ptr<fault_proxy> link;
-  /// Its own address, past the link.
+  /// Its own address, without the proxy.
   endpoint address;
+  /// Path of its log, and the log as read so far.
   std::string log;
   std::ifstream lines;
+  /// Version of the weights that it has loaded.
   int version = 1;
-  bool is_listed = false;
+  bool is_registered = false;
   bool is_draining = false;
   bool is_paused = false;
-  /// It departs for good, and serves on.
+  /// Departs for good, but still serves requests.
   bool is_departing = false;
-  /// When it is started again after it ended by itself.
-  std::optional<wall_time> restart_at;
-  uint64_t beats = 0;
+  /// When to restart it after its process exited by itself.
+  std::optional<steady_time> restart_at;
+  uint64_t heartbeats = 0;
 };
 
-/// Starts everything, writes to the store as operators and upstreams would, and
-/// hands what upstreams print to the ledger.
+/// Starts all processes, writes to the store as operators and upstreams do, and
+/// passes the events in the logs of the upstreams to the checker.
 class deployment {
  public:
   struct options {
@@ -83,35 +91,41 @@
     int services = 2;
   };
 
-  deployment(event_base* base, options opts, promise_ledger& ledger);
+  deployment(event_base* base, options opts, guarantee_checker& checker);
 
   void StartDaemon(size_t index);
   void StartUpstream(size_t index);
-  /// Removes the entry of an upstream that is gone.
-  void Unlist(size_t index);
-  /// An upstream departs, and serves on until it is ended.
+  /// Removes the store entry of an upstream.
+  void Deregister(size_t index);
+  /// Lets an upstream depart. It serves requests until its process is killed.
   void Depart(size_t index, departure how);
-  /// Writes all entries that are due, reads logs, collects ended processes and
-  /// starts ended daemons again.
+  /// Sends the heartbeats of upstreams, reads logs, reaps processes that
+  /// exited, and restarts daemons and crashed upstreams.
   void Tick();
   void PutConfiguration(bool has_second_credential);
-  void NameWeights(int version);
+  /// Writes \p version as the wanted weights version of the model.
+  void PublishWeights(int version);
+  /// Sets the fault mode of the store for all its callers; "none" ends it.
   void SetStoreFault(const std::string& mode);
-  /// Something else happens to the store; it is calm some time after.
-  void DisturbStore() { store_disturbed_at_ = wall_time::clock::now(); }
-  void HarmStoreLink(size_t index, link_fault fault);
-  /// Makes an upstream behave otherwise; \p what is a path of its controls.
-  void Control(size_t index, const std::string& what);
-  /// Sends a daemon a signal that ends it.
-  void EndDaemon(size_t index, int signal);
+  /// Records that a fault of the store begins or ends now.
+  void MarkStoreDisturbed() { store_disturbed_at_ = steady_time::clock::now(); }
+  void InjectStoreLinkFault(size_t index, link_fault fault);
+  /// Changes the behaviour of an upstream; \p what is a path below /control/.
+  void SendControl(size_t index, const std::string& what);
+  /// Sends a daemon a signal that terminates it.
+  void TerminateDaemon(size_t index, int signal);
   void PauseDaemon(size_t index);
   void ResumeDaemon(size_t index);
-  bool IsSound(const endpoint& front, wall_time since) const;
-  /// Since when nothing has disturbed a daemon that is sound.
-  wall_time CalmSince(const endpoint& front) const;
-  /// Whether at \p at a daemon and the store had been undisturbed for a while,
-  /// and nothing was between them.
-  bool IsInTouch(const endpoint& front, wall_time at) const;
+  /// Whether no fault acts on the daemon now, and the last one ended well
+  /// before \p since.
+  bool IsUndisturbed(const endpoint& front, steady_time since) const;
+  /// When the last fault on a daemon ended; for undisturbed daemons.
+  steady_time UndisturbedSince(const endpoint& front) const;
+  /// Whether the daemon could reach the store at \p at: the daemon, the store
+  /// and the connection between them were free of faults, and had been for a
+  /// while.
+  bool HasStoreContact(const endpoint& front, steady_time at) const;
+  /// The weights version published last.
   int weights() const { return weights_; }
 
   std::vector<daemon_state> daemons;
@@ -119,7 +133,7 @@
   process_table processes;
 
  private:
-  /// A write to the store, and what to do once it is acknowledged.
+  /// A write to the store, with a callback for its acknowledgement.
   struct pending_write {
     std::string key;
     std::string body;
@@ -133,30 +147,32 @@
   void Write(pending_write write);
   void SendNextWrite();
   void OnWritten(const platform::json_answer& answer);
-  /// \p mode may name one address of the store's, too.
+  /// \p mode may restrict the fault to one address of the store by `&at=`.
   void PostFault(const std::string& mode);
-  void List(upstream_state& item, std::function<void()> on_done = {});
+  void Register(upstream_state& item, std::function<void()> on_done = {});
   void ReadLog(upstream_state& item);
-  /// Reads that a request came while the upstream names a limit, is at rest,
-  /// leaves or has departed, as \p what says.
-  void ReadNoticed(const upstream_state& item,
-                   const std::string& what,
-                   std::istream& words);
-  /// Starts the upstream again some time after it ended by itself.
+  /// Reads a log line about a request that arrived while the upstream
+  /// advertised a limit, asked for backoff, announced that it leaves, or had
+  /// departed; \p what says which.
+  void ReadFeedbackLine(const upstream_state& item,
+                        const std::string& what,
+                        std::istream& words);
+  /// Restarts the upstream if its time to restart after a crash has come.
   void RestartCrashed(size_t index);
   const daemon_state& DaemonAt(const endpoint& front) const;
-  /// Waits for the line of \p log that begins with \p mark, and reads the
-  /// address there.
-  static endpoint AwaitListening(const std::string& log, std::string_view mark);
+  /// Waits for the line of \p log that begins with \p prefix and returns the
+  /// address behind it. Throws if there is none within 10 s.
+  static endpoint WaitForAddress(const std::string& log,
+                                 std::string_view prefix);
 
   event_base* base_;
   options options_;
-  promise_ledger& ledger_;
+  guarantee_checker& checker_;
   platform::json_caller caller_;
   endpoint store_;
-  /// Of the store too; calls there never fail.
-  endpoint sound_store_;
-  wall_time store_disturbed_at_{};
+  /// A second address of the store, where calls never fail.
+  endpoint reliable_store_;
+  steady_time store_disturbed_at_{};
   bool is_store_faulty_ = false;
   std::deque<pending_write> writes_;
   bool is_writing_ = false;
--- a/test/soak/fault_proxy.cc
+++ b/test/soak/fault_proxy.cc
@@ -15,22 +15,23 @@
 
 namespace cuminswitch::soak {
 
-/// Longer than a round trip, shorter than any time-out of the system.
+/// Delay of `link_fault::kDelay`: longer than a round trip, shorter than any
+/// time-out of the system.
 static constexpr std::chrono::milliseconds kDelay{60};
 
-/// One connection and its counterpart to the target.
+/// A caller's connection and the matching connection to the target.
 class fault_proxy::link {
  public:
   link(event_base* base,
        int fd,
        const endpoint& target,
        const link_fault& mode,
-       std::function<void()> on_over)
+       std::function<void()> on_closed)
       : mode_(mode),
-        on_over_(std::move(on_over)),
+        on_closed_(std::move(on_closed)),
         caller_(bufferevent_socket_new(base, fd, BEV_OPT_CLOSE_ON_FREE)),
         target_(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE)),
-        timer_(base, [this] { Release(); }) {
+        timer_(base, [this] { ForwardBuffered(); }) {
     for (bufferevent* side : {caller_, target_}) {
       bufferevent_setcb(side, &link::OnRead, nullptr, &link::OnEvent, this);
       bufferevent_enable(side, EV_READ | EV_WRITE);
@@ -46,18 +47,18 @@
     bufferevent_free(target_);
   }
 
-  bool is_over() const { return is_over_; }
-  void Forget() { is_forgotten_ = true; }
+  bool is_closed() const { return is_closed_; }
+  void BlockForever() { is_blocked_ = true; }
   void Pump() {
-    const bool is_silent = is_forgotten_ || mode_ == link_fault::kSilent;
-    if (is_silent || is_over_) {
+    const bool is_blocked = is_blocked_ || mode_ == link_fault::kBlackhole;
+    if (is_blocked || is_closed_) {
       return;
     }
     if (mode_ == link_fault::kDelay) {
       timer_.Start(kDelay);
       return;
     }
-    Release();
+    ForwardBuffered();
   }
   void Reset() {
     const linger abort{.l_onoff = 1, .l_linger = 0};
@@ -65,7 +66,7 @@
       setsockopt(bufferevent_getfd(side), SOL_SOCKET, SO_LINGER, &abort,
                  sizeof(abort));
     }
-    End();
+    Close();
   }
 
  private:
@@ -77,13 +78,13 @@
     if ((what & BEV_EVENT_CONNECTED) != 0) {
       return;
     }
-    // The other side gets what is on its way, and then the end.
+    // The other side gets the buffered bytes before the end of the connection.
     (side == item.caller_ ? item.caller_ended_ : item.target_ended_) = true;
     item.Pump();
   }
-  void Release() {
+  void ForwardBuffered() {
     Move(caller_, target_);
-    // A connection that has lost bytes never carries later ones.
+    // Later bytes of a connection that lost some would corrupt its data.
     is_one_way_ = is_one_way_ || mode_ == link_fault::kOneWay;
     if (is_one_way_) {
       evbuffer* dropped = bufferevent_get_input(target_);
@@ -94,29 +95,29 @@
     const bool is_flushed =
         evbuffer_get_length(bufferevent_get_output(caller_)) == 0;
     if (caller_ended_ || (target_ended_ && is_flushed)) {
-      End();
+      Close();
     } else if (target_ended_) {
       timer_.Start(std::chrono::milliseconds(1));
     }
   }
-  void End() {
-    is_over_ = true;
-    on_over_();
+  void Close() {
+    is_closed_ = true;
+    on_closed_();
   }
   static void Move(bufferevent* from, bufferevent* to) {
     bufferevent_write_buffer(to, bufferevent_get_input(from));
   }
 
   const link_fault& mode_;
-  std::function<void()> on_over_;
+  std::function<void()> on_closed_;
   bufferevent* caller_;
   bufferevent* target_;
   loop_timer timer_;
   bool caller_ended_ = false;
   bool target_ended_ = false;
-  bool is_forgotten_ = false;
+  bool is_blocked_ = false;
   bool is_one_way_ = false;
-  bool is_over_ = false;
+  bool is_closed_ = false;
 };
 
 fault_proxy::fault_proxy(event_base* base, const endpoint& target)
@@ -130,7 +131,7 @@
       this, LEV_OPT_CLOSE_ON_FREE, -1, reinterpret_cast<const sockaddr*>(&any),
       sizeof(any));
   if (listener_ == nullptr) {
-    throw std::runtime_error("a fault proxy cannot listen");
+    throw std::runtime_error("fault proxy cannot listen on 127.0.0.1");
   }
   sockaddr_in bound{};
   socklen_t size = sizeof(bound);
@@ -145,17 +146,17 @@
 
 void fault_proxy::Accept(int fd) {
   links_.push_back(std::make_unique<link>(base_, fd, target_, fault_, [this] {
-    // Not from within the link's own callback.
+    // Deferred, since the link must not be deleted in its own callback.
     CallLater(base_, [this] {
-      links_.remove_if([](const auto& item) { return item->is_over(); });
+      links_.remove_if([](const auto& item) { return item->is_closed(); });
     });
   }));
 }
 
 void fault_proxy::SetFault(link_fault fault) {
-  if (fault == link_fault::kReset || fault == link_fault::kForget) {
+  if (fault == link_fault::kReset || fault == link_fault::kBlackholeOpen) {
     for (const auto& item : links_) {
-      fault == link_fault::kReset ? item->Reset() : item->Forget();
+      fault == link_fault::kReset ? item->Reset() : item->BlockForever();
     }
     fault = link_fault::kNone;
   }
--- a/test/soak/fault_proxy.h
+++ b/test/soak/fault_proxy.h
@@ -1,5 +1,5 @@
 /// \file
-/// A loopback proxy that harms the connections through it.
+/// A loopback TCP proxy that injects faults into its connections.
 #ifndef CUMINSWITCH_TEST_SOAK_FAULT_PROXY_H_
 #define CUMINSWITCH_TEST_SOAK_FAULT_PROXY_H_
 
@@ -14,24 +14,25 @@
 
 namespace cuminswitch::soak {
 
-/// What happens to a proxy's connections.
+/// Faults of a proxy's connections.
 enum class link_fault : uint8_t {
   kNone,
-  /// Bytes are held for a while, both ways.
+  /// Bytes are delayed in both directions.
   kDelay,
-  /// Open connections are reset, new ones work: a fault of one moment.
+  /// Open connections are reset once; new ones work.
   kReset,
-  /// What the target sends is dropped, on these connections for good; the other
-  /// direction works.
+  /// Bytes from the target are dropped, and stay dropped on a connection that
+  /// has lost any; the other direction works.
   kOneWay,
-  /// Nothing passes, and nothing is closed.
-  kSilent,
-  /// Connections that are open now are silent for good; new ones work.
-  kForget,
+  /// No bytes are forwarded, and no connection is closed.
+  kBlackhole,
+  /// Open connections never forward bytes again and stay open; new ones work.
+  kBlackholeOpen,
 };
+/// Number of values of `link_fault`.
 inline constexpr int kLinkFaults = 6;
 
-/// Accepts connections on a free port and passes them on to one target.
+/// Accepts connections on a free port and forwards them to one target.
 class fault_proxy {
  public:
   fault_proxy(event_base* base, const endpoint& target);
--- a/test/soak/fault_schedule.cc
+++ b/test/soak/fault_schedule.cc
@@ -9,203 +9,228 @@
 
 namespace cuminswitch::soak {
 
-/// Between two things that are done.
-static constexpr int kLeastGapMs = 40;
-static constexpr int kMostGapMs = 450;
-/// The same where some daemons are to be in touch.
-static constexpr int kLeastDepartureGapMs = 200;
-static constexpr int kMostDepartureGapMs = 1'300;
-/// A departed upstream serves on for so long, and then comes back under another
-/// id.
-static constexpr int kServesOnMs = 8'000;
-/// Upstreams of a kind that stay.
-static constexpr int kLeastStaying = 2;
-/// From SIGTERM to SIGKILL; a little over the settings' grace.
-static constexpr int kGraceMs = 4'500;
-/// The store's entries last so long without a sign of an upstream.
-static constexpr int kLapseMs = 1'200;
+/// Time between the starts of two faults.
+static constexpr int kMinGapMs = 40;
+static constexpr int kMaxGapMs = 450;
+/// The same in departure mode, where some daemons must have contact with the
+/// store.
+static constexpr int kMinDepartureGapMs = 200;
+static constexpr int kMaxDepartureGapMs = 1'300;
+/// Time that a departed upstream still serves. It is then killed and restarted
+/// under another id.
+static constexpr int kServiceAfterDepartureMs = 8'000;
+/// Departures leave at least this many upstreams of each kind.
+static constexpr int kMinRemaining = 2;
+/// Time from SIGTERM to SIGKILL: slightly longer than the 4 s of `grace-s` in
+/// the daemons' settings.
+static constexpr int kStopTimeoutMs = 4'500;
+/// Lifetime of an upstream's store entry without heartbeats.
+static constexpr int kEntryTtlMs = 1'200;
 
 fault_schedule::fault_schedule(event_base* base,
                                uint64_t seed,
-                               soak_subject subject,
+                               soak_mode mode,
                                deployment& target)
     : base_(base),
       random_(seed),
-      subject_(subject),
+      mode_(mode),
       target_(target),
-      timer_(base, [this] { DoNext(); }) {}
+      timer_(base, [this] { InjectNext(); }) {}
 
 void fault_schedule::Start() {
-  DoNext();
+  InjectNext();
 }
 
 void fault_schedule::Stop() {
   is_stopped_ = true;
   timer_.Cancel();
-  for (lasting& item : lasting_) {
-    if (!std::exchange(item.is_over, true)) {
+  for (active_fault& item : active_faults_) {
+    if (!std::exchange(item.has_ended, true)) {
       item.end();
     }
   }
-  lasting_.clear();
+  active_faults_.clear();
 }
 
-void fault_schedule::Note(const std::string& what) const {
+void fault_schedule::LogFault(const std::string& what) const {
   std::cout << "  fault: " << what << "\n";
 }
 
-void fault_schedule::EndLater(int least_ms, int most_ms, action end) {
-  lasting& item = lasting_.emplace_back();
+void fault_schedule::ScheduleEnd(int min_ms, int max_ms, action end) {
+  active_fault& item = active_faults_.emplace_back();
   item.end = std::move(end);
   item.timer = std::make_unique<loop_timer>(base_, [&item] {
-    item.is_over = true;
+    item.has_ended = true;
     item.end();
   });
-  const auto span = static_cast<size_t>(most_ms - least_ms);
+  const auto span = static_cast<size_t>(max_ms - min_ms);
   item.timer->Start(
-      std::chrono::milliseconds(least_ms + static_cast<int>(Pick(span + 1))));
+      std::chrono::milliseconds(min_ms + static_cast<int>(Pick(span + 1))));
 }
 
-void fault_schedule::DoNext() {
+void fault_schedule::InjectNext() {
   if (is_stopped_) {
     return;
   }
   using step = void (fault_schedule::*)();
   static constexpr std::array<step, 13> kSteps = {
-      &fault_schedule::KillDaemon,    &fault_schedule::StopDaemon,
-      &fault_schedule::PauseDaemon,   &fault_schedule::ReloadDaemon,
-      &fault_schedule::HarmStoreLink, &fault_schedule::HarmUpstreamLink,
-      &fault_schedule::KillUpstream,  &fault_schedule::PauseUpstream,
-      &fault_schedule::DrainUpstream, &fault_schedule::HarmStore,
-      &fault_schedule::PauseStore,    &fault_schedule::ChangeConfiguration,
-      &fault_schedule::NameWeights};
+      &fault_schedule::KillDaemon,
+      &fault_schedule::StopDaemon,
+      &fault_schedule::PauseDaemon,
+      &fault_schedule::ReloadDaemon,
+      &fault_schedule::InjectStoreLinkFault,
+      &fault_schedule::InjectUpstreamLinkFault,
+      &fault_schedule::KillUpstream,
+      &fault_schedule::PauseUpstream,
+      &fault_schedule::DrainUpstream,
+      &fault_schedule::InjectStoreFault,
+      &fault_schedule::PauseStore,
+      &fault_schedule::ChangeConfiguration,
+      &fault_schedule::PublishWeights};
   static constexpr std::array<step, 12> kLimitSteps = {
-      &fault_schedule::KillDaemon,    &fault_schedule::StopDaemon,
-      &fault_schedule::PauseDaemon,   &fault_schedule::ReloadDaemon,
-      &fault_schedule::HarmStoreLink, &fault_schedule::HarmStore,
-      &fault_schedule::PauseStore,    &fault_schedule::ChangeConfiguration,
-      &fault_schedule::NameLimit,     &fault_schedule::NameLimit,
-      &fault_schedule::NameLimit,     &fault_schedule::NameLimit};
+      &fault_schedule::KillDaemon,
+      &fault_schedule::StopDaemon,
+      &fault_schedule::PauseDaemon,
+      &fault_schedule::ReloadDaemon,
+      &fault_schedule::InjectStoreLinkFault,
+      &fault_schedule::InjectStoreFault,
+      &fault_schedule::PauseStore,
+      &fault_schedule::ChangeConfiguration,
+      &fault_schedule::AdvertiseLimit,
+      &fault_schedule::AdvertiseLimit,
+      &fault_schedule::AdvertiseLimit,
+      &fault_schedule::AdvertiseLimit};
   static constexpr std::array<step, 8> kCrashSteps = {
-      &fault_schedule::KillDaemon,    &fault_schedule::StopDaemon,
-      &fault_schedule::PauseDaemon,   &fault_schedule::ReloadDaemon,
-      &fault_schedule::HarmStoreLink, &fault_schedule::HarmStore,
-      &fault_schedule::PauseStore,    &fault_schedule::ChangeConfiguration};
-  static constexpr std::array<step, 12> kNoticeSteps = {
-      &fault_schedule::KillDaemon,    &fault_schedule::StopDaemon,
-      &fault_schedule::PauseDaemon,   &fault_schedule::ReloadDaemon,
-      &fault_schedule::HarmStoreLink, &fault_schedule::HarmStore,
-      &fault_schedule::PauseStore,    &fault_schedule::ChangeConfiguration,
-      &fault_schedule::AskForRest,    &fault_schedule::AskForRest,
-      &fault_schedule::AskForRest,    &fault_schedule::SayLeaving};
+      &fault_schedule::KillDaemon,
+      &fault_schedule::StopDaemon,
+      &fault_schedule::PauseDaemon,
+      &fault_schedule::ReloadDaemon,
+      &fault_schedule::InjectStoreLinkFault,
+      &fault_schedule::InjectStoreFault,
+      &fault_schedule::PauseStore,
+      &fault_schedule::ChangeConfiguration};
+  static constexpr std::array<step, 12> kFeedbackSteps = {
+      &fault_schedule::KillDaemon,
+      &fault_schedule::StopDaemon,
+      &fault_schedule::PauseDaemon,
+      &fault_schedule::ReloadDaemon,
+      &fault_schedule::InjectStoreLinkFault,
+      &fault_schedule::InjectStoreFault,
+      &fault_schedule::PauseStore,
+      &fault_schedule::ChangeConfiguration,
+      &fault_schedule::RequestBackoff,
+      &fault_schedule::RequestBackoff,
+      &fault_schedule::RequestBackoff,
+      &fault_schedule::AnnounceLeaving};
   static constexpr std::array<step, 14> kDepartureSteps = {
-      &fault_schedule::KillDaemon,       &fault_schedule::StopDaemon,
-      &fault_schedule::PauseDaemon,      &fault_schedule::HarmStoreLink,
-      &fault_schedule::LoseStoreBriefly, &fault_schedule::LoseStoreBriefly,
-      &fault_schedule::LoseStoreBriefly, &fault_schedule::LoseStore,
-      &fault_schedule::KillAllDaemons,   &fault_schedule::ChangeConfiguration,
-      &fault_schedule::DepartAnyhow,     &fault_schedule::DepartAnyhow,
-      &fault_schedule::DepartAnyhow,     &fault_schedule::DepartAnyhow};
+      &fault_schedule::KillDaemon,     &fault_schedule::StopDaemon,
+      &fault_schedule::PauseDaemon,    &fault_schedule::InjectStoreLinkFault,
+      &fault_schedule::ResetStoreLink, &fault_schedule::ResetStoreLink,
+      &fault_schedule::ResetStoreLink, &fault_schedule::StartStoreOutage,
+      &fault_schedule::KillAllDaemons, &fault_schedule::ChangeConfiguration,
+      &fault_schedule::DepartRandomly, &fault_schedule::DepartRandomly,
+      &fault_schedule::DepartRandomly, &fault_schedule::DepartRandomly};
   std::span<const step> steps = kSteps;
-  int least_gap = kLeastGapMs;
-  int most_gap = kMostGapMs;
-  if (subject_ == soak_subject::kLimits) {
+  int min_gap = kMinGapMs;
+  int max_gap = kMaxGapMs;
+  if (mode_ == soak_mode::kLimits) {
     steps = kLimitSteps;
-  } else if (subject_ == soak_subject::kCrashes) {
+  } else if (mode_ == soak_mode::kCrashes) {
     steps = kCrashSteps;
-  } else if (subject_ == soak_subject::kNotices) {
-    steps = kNoticeSteps;
-  } else if (subject_ == soak_subject::kDepartures) {
+  } else if (mode_ == soak_mode::kFeedback) {
+    steps = kFeedbackSteps;
+  } else if (mode_ == soak_mode::kDepartures) {
     steps = kDepartureSteps;
-    least_gap = kLeastDepartureGapMs;
-    most_gap = kMostDepartureGapMs;
+    min_gap = kMinDepartureGapMs;
+    max_gap = kMaxDepartureGapMs;
   }
   const step next = steps[Pick(steps.size())];
   (this->*next)();
   timer_.Start(std::chrono::milliseconds(
-      least_gap +
-      static_cast<int>(Pick(static_cast<size_t>(most_gap - least_gap)))));
+      min_gap +
+      static_cast<int>(Pick(static_cast<size_t>(max_gap - min_gap)))));
 }
 
 void fault_schedule::KillDaemon() {
   const size_t index = Pick(target_.daemons.size());
-  Note("SIGKILL to " + target_.daemons[index].name);
-  target_.EndDaemon(index, SIGKILL);
+  LogFault("SIGKILL to " + target_.daemons[index].name);
+  target_.TerminateDaemon(index, SIGKILL);
 }
 
 void fault_schedule::StopDaemon() {
   const size_t index = Pick(target_.daemons.size());
   const int start = target_.daemons[index].start;
-  Note("SIGTERM to " + target_.daemons[index].name);
-  target_.EndDaemon(index, SIGTERM);
-  // A process that does not end in its grace is killed.
-  EndLater(kGraceMs, kGraceMs, [this, index, start] {
+  LogFault("SIGTERM to " + target_.daemons[index].name);
+  target_.TerminateDaemon(index, SIGTERM);
+  // Kills the process if it has not exited in time, but not its successor.
+  ScheduleEnd(kStopTimeoutMs, kStopTimeoutMs, [this, index, start] {
     if (target_.daemons[index].start == start) {
-      target_.EndDaemon(index, SIGKILL);
+      target_.TerminateDaemon(index, SIGKILL);
     }
   });
 }
 
 void fault_schedule::PauseDaemon() {
   const size_t index = Pick(target_.daemons.size());
-  Note("SIGSTOP to " + target_.daemons[index].name);
+  LogFault("SIGSTOP to " + target_.daemons[index].name);
   target_.PauseDaemon(index);
-  EndLater(200, 3'500, [this, index] { target_.ResumeDaemon(index); });
+  ScheduleEnd(200, 3'500, [this, index] { target_.ResumeDaemon(index); });
 }
 
 void fault_schedule::ReloadDaemon() {
   const size_t index = Pick(target_.daemons.size());
-  Note("SIGHUP to " + target_.daemons[index].name);
+  LogFault("SIGHUP to " + target_.daemons[index].name);
   target_.processes.Signal(target_.daemons[index].name, SIGHUP);
 }
 
-/// A fault that is not none.
-static link_fault AnyFault(size_t choice) {
+/// Maps \p choice to a fault other than `kNone`.
+static link_fault ChooseFault(size_t choice) {
   return static_cast<link_fault>(1 + choice % (kLinkFaults - 1));
 }
 
-void fault_schedule::HarmStoreLink() {
+void fault_schedule::InjectStoreLinkFault() {
   const size_t index = Pick(target_.daemons.size());
-  const link_fault fault = AnyFault(Pick(kLinkFaults));
-  Note("store link of " + target_.daemons[index].name + ", kind " +
-       std::to_string(static_cast<int>(fault)));
-  target_.HarmStoreLink(index, fault);
-  EndLater(200, 4'000,
-           [this, index] { target_.HarmStoreLink(index, link_fault::kNone); });
+  const link_fault fault = ChooseFault(Pick(kLinkFaults));
+  LogFault("store link of " + target_.daemons[index].name + ", kind " +
+           std::to_string(static_cast<int>(fault)));
+  target_.InjectStoreLinkFault(index, fault);
+  ScheduleEnd(200, 4'000, [this, index] {
+    target_.InjectStoreLinkFault(index, link_fault::kNone);
+  });
 }
 
-void fault_schedule::HarmUpstreamLink() {
+void fault_schedule::InjectUpstreamLinkFault() {
   const size_t index = Pick(target_.upstreams.size());
   fault_proxy& link = *target_.upstreams[index].link;
-  const link_fault fault = AnyFault(Pick(kLinkFaults));
-  Note("link of " + target_.upstreams[index].id + ", kind " +
-       std::to_string(static_cast<int>(fault)));
+  const link_fault fault = ChooseFault(Pick(kLinkFaults));
+  LogFault("link of " + target_.upstreams[index].id + ", kind " +
+           std::to_string(static_cast<int>(fault)));
   link.SetFault(fault);
-  EndLater(200, 2'500, [&link] { link.SetFault(link_fault::kNone); });
+  ScheduleEnd(200, 2'500, [&link] { link.SetFault(link_fault::kNone); });
 }
 
 void fault_schedule::KillUpstream() {
   const size_t index = Pick(target_.upstreams.size());
   upstream_state& item = target_.upstreams[index];
-  if (!target_.processes.IsRunning(item.name) || !item.is_listed) {
+  if (!target_.processes.IsRunning(item.name) || !item.is_registered) {
     return;
   }
-  Note("SIGKILL to " + item.id);
+  LogFault("SIGKILL to " + item.id);
   target_.processes.Signal(item.name, SIGCONT);
   target_.processes.Signal(item.name, SIGKILL);
-  EndLater(kLapseMs, 2 * kLapseMs, [this, index] {
-    target_.Unlist(index);
+  ScheduleEnd(kEntryTtlMs, 2 * kEntryTtlMs, [this, index] {
+    target_.Deregister(index);
     target_.StartUpstream(index);
   });
-  item.is_listed = false;
+  item.is_registered = false;
 }
 
 void fault_schedule::PauseUpstream() {
   upstream_state& item = target_.upstreams[Pick(target_.upstreams.size())];
-  Note("SIGSTOP to " + item.id);
+  LogFault("SIGSTOP to " + item.id);
   item.is_paused = true;
   target_.processes.Signal(item.name, SIGSTOP);
-  EndLater(100, kLapseMs, [this, &item] {
+  ScheduleEnd(100, kEntryTtlMs, [this, &item] {
     item.is_paused = false;
     target_.processes.Signal(item.name, SIGCONT);
   });
@@ -213,71 +238,75 @@
 
 void fault_schedule::DrainUpstream() {
   upstream_state& item = target_.upstreams[Pick(target_.upstreams.size())];
-  Note("drain " + item.id);
+  LogFault("drain " + item.id);
   item.is_draining = true;
-  EndLater(500, 3'000, [&item] { item.is_draining = false; });
+  ScheduleEnd(500, 3'000, [&item] { item.is_draining = false; });
 }
 
-void fault_schedule::HarmStore() {
+void fault_schedule::InjectStoreFault() {
   static constexpr std::array<const char*, 3> kModes = {"refuse", "silent",
                                                         "lost"};
-  if (std::exchange(is_store_harmed_, true)) {
+  if (std::exchange(is_store_faulty_, true)) {
     return;
   }
   const char* mode = kModes[Pick(kModes.size())];
-  Note(std::string("store ") + mode);
+  LogFault(std::string("store ") + mode);
   target_.SetStoreFault(mode);
-  EndLater(300, 3'000, [this] {
-    is_store_harmed_ = false;
+  ScheduleEnd(300, 3'000, [this] {
+    is_store_faulty_ = false;
     target_.SetStoreFault("none");
   });
 }
 
 void fault_schedule::PauseStore() {
-  Note("SIGSTOP to the store");
-  target_.DisturbStore();
+  LogFault("SIGSTOP to the store");
+  target_.MarkStoreDisturbed();
   target_.processes.Signal("store", SIGSTOP);
-  EndLater(100, 1'500, [this] {
-    target_.DisturbStore();
+  ScheduleEnd(100, 1'500, [this] {
+    target_.MarkStoreDisturbed();
     target_.processes.Signal("store", SIGCONT);
   });
 }
 
 void fault_schedule::ChangeConfiguration() {
-  // A credential is used while it is in force for sure, long after it came.
+  // Callers use the second credential only while all daemons must accept it, so
+  // no longer after it has been revoked once.
   may_use_second_ = false;
   has_second_ = !has_second_;
-  Note(has_second_ ? "second credential added" : "second credential revoked");
+  LogFault(has_second_ ? "second credential added"
+                       : "second credential revoked");
   target_.PutConfiguration(has_second_);
 }
 
-void fault_schedule::NameLimit() {
+void fault_schedule::AdvertiseLimit() {
   static constexpr std::array<const char*, 5> kRates = {"0.5", "1", "1.3", "3",
                                                         "10"};
   const size_t index = Pick(target_.upstreams.size());
   const char* rate = kRates[Pick(kRates.size())];
-  Note(target_.upstreams[index].id + " takes " + rate + " requests a second");
-  target_.Control(index, std::string("limit/") + rate);
-  EndLater(2'000, 9'000,
-           [this, index] { target_.Control(index, "limit/none"); });
+  LogFault(target_.upstreams[index].id + " advertises a limit of " + rate +
+           " requests/s");
+  target_.SendControl(index, std::string("limit/") + rate);
+  ScheduleEnd(2'000, 9'000,
+              [this, index] { target_.SendControl(index, "limit/none"); });
 }
 
-void fault_schedule::AskForRest() {
+void fault_schedule::RequestBackoff() {
   static constexpr std::array<const char*, 4> kTimes = {"0.3", "1", "2.5", "4"};
   const size_t index = Pick(target_.upstreams.size());
   const char* time = kTimes[Pick(kTimes.size())];
-  Note(target_.upstreams[index].id + " asks for " + time + " s of rest");
-  target_.Control(index, std::string("rest/") + time);
-  EndLater(1'000, 6'000,
-           [this, index] { target_.Control(index, "rest/none"); });
+  LogFault(target_.upstreams[index].id + " asks for " + time + " s of backoff");
+  target_.SendControl(index, std::string("rest/") + time);
+  ScheduleEnd(1'000, 6'000,
+              [this, index] { target_.SendControl(index, "rest/none"); });
 }
 
-void fault_schedule::SayLeaving() {
+void fault_schedule::AnnounceLeaving() {
   const size_t index = Pick(target_.upstreams.size());
-  Note(target_.upstreams[index].id + " says that it leaves");
-  target_.Control(index, "leaving/1");
-  EndLater(3'000, 7'000, [this, id = target_.upstreams[index].id, index] {
-    // Gone without a word in the store, and back under another id.
+  LogFault(target_.upstreams[index].id + " announces that it leaves");
+  target_.SendControl(index, "leaving/1");
+  ScheduleEnd(3'000, 7'000, [this, id = target_.upstreams[index].id, index] {
+    // Kills the upstream without a change of its store entry. The deployment
+    // restarts it under another id.
     if (target_.upstreams[index].id == id) {
       target_.processes.Signal(target_.upstreams[index].name, SIGKILL);
     }
@@ -285,62 +314,63 @@
 }
 
 void fault_schedule::KillAllDaemons() {
-  Note("SIGKILL to all daemons");
+  LogFault("SIGKILL to all daemons");
   for (size_t i = 0; i < target_.daemons.size(); ++i) {
-    target_.EndDaemon(i, SIGKILL);
+    target_.TerminateDaemon(i, SIGKILL);
   }
 }
 
 void fault_schedule::Depart(departure how) {
   const size_t index = Pick(target_.upstreams.size());
   const upstream_state& item = target_.upstreams[index];
-  const auto staying = std::count_if(
+  const auto remaining = std::count_if(
       target_.upstreams.begin(), target_.upstreams.end(),
       [&](const upstream_state& other) {
         return other.is_engine == item.is_engine && !other.is_departing;
       });
-  if (item.is_departing || staying <= kLeastStaying) {
+  if (item.is_departing || remaining <= kMinRemaining) {
     return;
   }
-  Note(item.id + " departs, in way " + std::to_string(static_cast<int>(how)));
+  LogFault(item.id + " departs, kind " + std::to_string(static_cast<int>(how)));
   target_.Depart(index, how);
-  EndLater(kServesOnMs, kServesOnMs, [this, index] {
-    target_.processes.Signal(target_.upstreams[index].name, SIGKILL);
-    target_.Unlist(index);
-    // Its end is collected before its name is used again.
-    EndLater(200, 400, [this, index] { target_.StartUpstream(index); });
-  });
+  ScheduleEnd(
+      kServiceAfterDepartureMs, kServiceAfterDepartureMs, [this, index] {
+        target_.processes.Signal(target_.upstreams[index].name, SIGKILL);
+        target_.Deregister(index);
+        // The old process must be reaped before its name is reused.
+        ScheduleEnd(200, 400, [this, index] { target_.StartUpstream(index); });
+      });
 }
 
-void fault_schedule::DepartAnyhow() {
+void fault_schedule::DepartRandomly() {
   Depart(Pick(2) == 0 ? departure::kDraining : departure::kRemoved);
 }
 
-void fault_schedule::LoseStore() {
-  if (std::exchange(is_store_harmed_, true)) {
+void fault_schedule::StartStoreOutage() {
+  if (std::exchange(is_store_faulty_, true)) {
     return;
   }
   const char* mode = Pick(2) == 0 ? "refuse" : "silent";
-  Note(std::string("store ") + mode + " for long");
+  LogFault(std::string("store ") + mode + ", long outage");
   target_.SetStoreFault(mode);
-  EndLater(500, 2'000, [this] { Depart(departure::kLapsed); });
-  EndLater(2'500, 4'500, [this] {
-    is_store_harmed_ = false;
+  ScheduleEnd(500, 2'000, [this] { Depart(departure::kExpired); });
+  ScheduleEnd(2'500, 4'500, [this] {
+    is_store_faulty_ = false;
     target_.SetStoreFault("none");
     Depart(departure::kRemoved);
-    EndLater(0, 1'500, [this] { DepartAnyhow(); });
+    ScheduleEnd(0, 1'500, [this] { DepartRandomly(); });
   });
 }
 
-void fault_schedule::LoseStoreBriefly() {
+void fault_schedule::ResetStoreLink() {
   const size_t index = Pick(target_.daemons.size());
-  Note(target_.daemons[index].name + " loses the store briefly");
-  target_.HarmStoreLink(index, link_fault::kReset);
+  LogFault(target_.daemons[index].name + " loses its store connections once");
+  target_.InjectStoreLinkFault(index, link_fault::kReset);
 }
 
-void fault_schedule::NameWeights() {
-  Note("weights " + std::to_string(target_.weights() + 1) + " named");
-  target_.NameWeights(target_.weights() + 1);
+void fault_schedule::PublishWeights() {
+  LogFault("weights " + std::to_string(target_.weights() + 1) + " published");
+  target_.PublishWeights(target_.weights() + 1);
 }
 
 }  // namespace cuminswitch::soak
--- a/test/soak/fault_schedule.h
+++ b/test/soak/fault_schedule.h
@@ -1,5 +1,5 @@
 /// \file
-/// What is done to a deployment, and when, from a seed.
+/// Injects random faults, derived from a seed, into a deployment.
 #ifndef CUMINSWITCH_TEST_SOAK_FAULT_SCHEDULE_H_
 #define CUMINSWITCH_TEST_SOAK_FAULT_SCHEDULE_H_
 
@@ -15,91 +15,104 @@
 
 namespace cuminswitch::soak {
 
-/// What a schedule is about.
-enum class soak_subject : uint8_t {
-  /// Everything.
+/// Which faults a schedule injects.
+enum class soak_mode : uint8_t {
+  /// Faults of daemons, the store, upstreams and links, and changes of the
+  /// configuration and of weights.
   kAll,
-  /// Limits that upstreams name, while daemons and the store are harmed. Links
-  /// and upstreams are left alone: they would hold requests up and let them go
-  /// at once.
+  /// Upstreams advertise rate limits, with faults of daemons and the store
+  /// only:
+  /// faults of upstreams and their links would delay requests and release them
+  /// in
+  /// bursts, which the limit check would count as violations.
   kLimits,
-  /// Requests that crash upstreams; harmed as with limits.
+  /// Callers send requests that crash upstreams; faults of daemons and the
+  /// store
+  /// only.
   kCrashes,
-  /// Rest that upstreams ask for, and that they leave; harmed as with limits.
-  kNotices,
-  /// Upstreams that depart while the store is lost for one daemon or for all,
-  /// and daemons end; faults are further apart, so that some are in touch.
+  /// Upstreams ask for backoff and announce that they leave; otherwise faults
+  /// of
+  /// daemons and the store only.
+  kFeedback,
+  /// Upstreams depart while the store is unavailable for one daemon or for all,
+  /// and daemons are killed. Faults are further apart, so that some daemons
+  /// have
+  /// contact with the store.
   kDepartures,
 };
 
-/// Does one thing after another, each to a part chosen by the seed. Most of
-/// them last a while and overlap with those that follow.
+/// Injects one fault after another, each into a process or connection chosen by
+/// the seed. Most faults last a while and overlap with later ones.
 class fault_schedule {
  public:
   fault_schedule(event_base* base,
                  uint64_t seed,
-                 soak_subject subject,
+                 soak_mode mode,
                  deployment& target);
 
-  /// Begins to harm.
+  /// Injects the first fault and schedules the others.
   void Start();
-  /// Does nothing new, and ends all that still lasts.
+  /// Injects no further faults and ends those in progress.
   void Stop();
-  /// Whether the second credential is in force without doubt.
+  /// Whether all daemons must accept the second credential of workspace w2.
+  /// False from its first revocation on.
   bool MayUseSecondCredential() const { return may_use_second_; }
 
  private:
   using action = std::function<void()>;
 
-  void DoNext();
-  /// Runs \p end after a random time between \p least and \p most, or at
-  /// `Stop`.
-  void EndLater(int least_ms, int most_ms, action end);
+  void InjectNext();
+  /// Runs \p end after a random time between \p min_ms and \p max_ms, or at
+  /// `Stop` if that is earlier.
+  void ScheduleEnd(int min_ms, int max_ms, action end);
+  /// Returns a random number below \p count.
   size_t Pick(size_t count) { return random_() % count; }
-  void Note(const std::string& what) const;
+  void LogFault(const std::string& what) const;
 
   void KillDaemon();
   void StopDaemon();
   void PauseDaemon();
   void ReloadDaemon();
-  void HarmStoreLink();
-  void HarmUpstreamLink();
+  void InjectStoreLinkFault();
+  void InjectUpstreamLinkFault();
   void KillUpstream();
   void PauseUpstream();
   void DrainUpstream();
-  void HarmStore();
+  void InjectStoreFault();
   void PauseStore();
   void ChangeConfiguration();
-  void NameWeights();
-  void NameLimit();
-  void AskForRest();
-  void SayLeaving();
+  void PublishWeights();
+  void AdvertiseLimit();
+  void RequestBackoff();
+  void AnnounceLeaving();
   void KillAllDaemons();
-  /// An upstream departs, as long as some of its kind stay.
+  /// Lets an upstream depart unless too few of its kind would remain.
   void Depart(departure how);
-  void DepartAnyhow();
-  /// The store is lost for longer than entries last; upstreams depart while it
-  /// is, and soon after.
-  void LoseStore();
-  /// A daemon loses the store for a moment.
-  void LoseStoreBriefly();
+  /// Lets an upstream depart as draining or removed.
+  void DepartRandomly();
+  /// Makes the store unavailable for longer than the lifetime of its entries.
+  /// Upstreams depart during the outage and soon after it.
+  void StartStoreOutage();
+  /// Resets a daemon's open connections to the store.
+  void ResetStoreLink();
 
-  struct lasting {
+  /// A fault in progress, with what ends it.
+  struct active_fault {
     std::unique_ptr<loop_timer> timer;
     action end;
-    bool is_over = false;
+    bool has_ended = false;
   };
 
   event_base* base_;
   std::mt19937_64 random_;
-  soak_subject subject_;
+  soak_mode mode_;
   deployment& target_;
   loop_timer timer_;
-  std::list<lasting> lasting_;
+  std::list<active_fault> active_faults_;
   bool is_stopped_ = false;
   bool has_second_ = true;
   bool may_use_second_ = true;
-  bool is_store_harmed_ = false;
+  bool is_store_faulty_ = false;
 };
 
 }  // namespace cuminswitch::soak
--- a/test/soak/limit_check.cc
+++ b/test/soak/limit_check.cc
@@ -4,27 +4,29 @@
 
 namespace cuminswitch::soak {
 
-/// A daemon is bound so long after it has passed on an answer with the limit.
-static constexpr std::chrono::milliseconds kHeed{500};
+/// Time from the first forwarded response with the limit until the daemon must
+/// obey the limit.
+static constexpr std::chrono::milliseconds kLimitReactionTime{500};
 
-void limit_check::OnTold(const endpoint& daemon,
-                         const std::string& upstream,
-                         wall_time at) {
-  told_.try_emplace({daemon, upstream}, at);
+void limit_check::OnLimitForwarded(const endpoint& daemon,
+                                   const std::string& upstream,
+                                   steady_time at) {
+  forwarded_.try_emplace({daemon, upstream}, at);
 }
 
 std::optional<std::string> limit_check::OnArrival(const arrival& item) {
-  const auto told = told_.find({item.daemon, item.upstream});
-  if (told == told_.end() || item.at < told->second + kHeed) {
+  const auto forwarded = forwarded_.find({item.daemon, item.upstream});
+  if (forwarded == forwarded_.end() ||
+      item.at < forwarded->second + kLimitReactionTime) {
     return std::nullopt;
   }
   ++counted_;
-  counted_arrivals& under = arrivals_[item.upstream];
-  if (under.rate != item.rate) {
-    // What came under another limit was held to that one.
-    under = {.rate = item.rate};
+  recent_arrivals& recent = arrivals_[item.upstream];
+  if (recent.rate != item.rate) {
+    // Earlier requests were checked against the previous limit.
+    recent = {.rate = item.rate};
   }
-  std::deque<wall_time>& counted = under.at;
+  std::deque<steady_time>& counted = recent.at;
   counted.push_back(item.at);
   while (item.at - counted.front() > kLimitWindow) {
     counted.pop_front();
--- a/test/soak/limit_check.h
+++ b/test/soak/limit_check.h
@@ -1,5 +1,6 @@
 /// \file
-/// Whether upstreams get no more than the limits that they name.
+/// Checks that upstreams receive no more requests than their advertised limits
+/// allow.
 #ifndef CUMINSWITCH_TEST_SOAK_LIMIT_CHECK_H_
 #define CUMINSWITCH_TEST_SOAK_LIMIT_CHECK_H_
 
@@ -14,36 +15,40 @@
 
 namespace cuminswitch::soak {
 
-/// Counts, for each upstream, the requests of daemons that passed on an answer
-/// with its limit. What daemons send that were disturbed is not counted.
+/// Counts the requests per upstream of daemons that know its limit, which is
+/// when they have forwarded a response that advertises it. The caller leaves
+/// out requests of daemons that were disturbed by a fault.
 class limit_check {
  public:
   struct arrival {
     std::string upstream;
-    /// Where the daemon that sent it takes callers.
+    /// The caller address of the daemon that sent it.
     endpoint daemon;
-    wall_time at{};
+    steady_time at{};
+    /// The advertised limit, in requests per second.
     double rate = 0;
   };
 
-  /// A caller got an answer of \p upstream that names a limit.
-  void OnTold(const endpoint& daemon,
-              const std::string& upstream,
-              wall_time at);
-  /// A request reached an upstream that names a limit. Returns what is wrong,
-  /// if it is one too many.
+  /// Records that a caller received a response of \p upstream that advertises a
+  /// limit.
+  void OnLimitForwarded(const endpoint& daemon,
+                        const std::string& upstream,
+                        steady_time at);
+  /// Records that a request reached an upstream that advertises a limit.
+  /// Returns a description of the violation if the request exceeds the limit.
   std::optional<std::string> OnArrival(const arrival& item);
+  /// Requests checked so far.
   size_t counted() const { return counted_; }
 
  private:
-  std::map<std::pair<endpoint, std::string>, wall_time> told_;
-  /// Of the last 4 s.
-  struct counted_arrivals {
+  std::map<std::pair<endpoint, std::string>, steady_time> forwarded_;
+  /// Arrivals in the last `kLimitWindow`, 4 s, under one limit.
+  struct recent_arrivals {
     double rate = 0;
-    std::deque<wall_time> at;
+    std::deque<steady_time> at;
   };
 
-  std::map<std::string, counted_arrivals> arrivals_;
+  std::map<std::string, recent_arrivals> arrivals_;
   size_t counted_ = 0;
 };
 
--- a/test/soak/notice_check.cc
+++ b/test/soak/notice_check.cc
@@ -4,48 +4,53 @@
 
 namespace cuminswitch::soak {
 
-/// What is under way to an upstream may come so long after its notice.
-static constexpr std::chrono::milliseconds kUnderWay{500};
-static constexpr int kMostInRest = 2;
-/// From when a daemon has passed on that an upstream leaves.
+/// Time after the feedback during which requests sent earlier may still arrive.
+static constexpr std::chrono::milliseconds kInFlightTime{500};
+/// Requests of one daemon that one backoff period may see without a violation.
+static constexpr int kMaxArrivalsInBackoff = 2;
+/// Time from a forwarded response with the announcement until the daemon must
+/// send the leaving upstream no requests.
 static constexpr std::chrono::milliseconds kDrainTime{2'000};
 
-std::optional<std::string> notice_check::OnRestAsked(
-    const notice_arrival& item,
-    std::chrono::milliseconds rest) {
+std::optional<std::string> feedback_check::OnBackoffRequested(
+    const feedback_arrival& item,
+    std::chrono::milliseconds backoff) {
   ++counted_;
-  std::vector<rest_period>& periods = rests_[{item.daemon, item.upstream}];
+  std::vector<backoff_period>& periods =
+      backoffs_[{item.daemon, item.upstream}];
   std::optional<std::string> wrong;
-  for (rest_period& period : periods) {
-    if (period.from > item.calm_since && item.at > period.from + kUnderWay &&
-        item.at < period.until && ++period.arrivals > kMostInRest) {
+  for (backoff_period& period : periods) {
+    if (period.from > item.undisturbed_since &&
+        item.at > period.from + kInFlightTime && item.at < period.until &&
+        ++period.arrivals > kMaxArrivalsInBackoff) {
       wrong = item.upstream + " got " + std::to_string(period.arrivals) +
-              " requests of " + item.daemon.ToString() + " in its rest";
+              " requests of " + item.daemon.ToString() + " during its backoff";
     }
   }
-  periods.push_back({.from = item.at, .until = item.at + rest});
+  periods.push_back({.from = item.at, .until = item.at + backoff});
   return wrong;
 }
 
-void notice_check::OnLeavingTold(const endpoint& daemon,
-                                 const std::string& upstream,
-                                 wall_time at) {
-  leaving_told_[{daemon, upstream}].push_back(at);
+void feedback_check::OnLeavingForwarded(const endpoint& daemon,
+                                        const std::string& upstream,
+                                        steady_time at) {
+  leaving_forwarded_[{daemon, upstream}].push_back(at);
 }
 
-std::optional<std::string> notice_check::OnLeavingArrival(
-    const notice_arrival& item) {
+std::optional<std::string> feedback_check::OnLeavingArrival(
+    const feedback_arrival& item) {
   ++counted_;
-  const std::vector<wall_time>& told =
-      leaving_told_[{item.daemon, item.upstream}];
-  const bool is_bound =
-      std::any_of(told.begin(), told.end(), [&](wall_time told_at) {
-        return told_at > item.calm_since && item.at >= told_at + kDrainTime;
+  const std::vector<steady_time>& forwarded =
+      leaving_forwarded_[{item.daemon, item.upstream}];
+  const bool is_bound = std::any_of(
+      forwarded.begin(), forwarded.end(), [&](steady_time forwarded_at) {
+        return forwarded_at > item.undisturbed_since &&
+               item.at >= forwarded_at + kDrainTime;
       });
   if (!is_bound) {
     return std::nullopt;
   }
-  return item.upstream + " leaves and got a request of " +
+  return item.upstream + " announced that it leaves and got a request of " +
          item.daemon.ToString();
 }
 
--- a/test/soak/notice_check.h
+++ b/test/soak/notice_check.h
@@ -1,5 +1,6 @@
 /// \file
-/// Whether daemons heed what upstreams say of themselves.
+/// Checks that daemons obey the feedback of upstreams: requested backoff and
+/// announced departures.
 #ifndef CUMINSWITCH_TEST_SOAK_NOTICE_CHECK_H_
 #define CUMINSWITCH_TEST_SOAK_NOTICE_CHECK_H_
 
@@ -15,42 +16,48 @@
 namespace cuminswitch::soak {
 
 /// A request of an undisturbed daemon that reached an upstream.
-struct notice_arrival {
+struct feedback_arrival {
   std::string upstream;
-  /// Where the daemon that sent it takes callers.
+  /// The caller address of the daemon that sent it.
   endpoint daemon;
-  wall_time at{};
-  /// Since when nothing has disturbed the daemon. What was told before binds it
-  /// no more: a restart or a pause since then excuses it.
-  wall_time calm_since{};
+  steady_time at{};
+  /// When the daemon was last restarted or resumed. Feedback that it received
+  /// before that is not checked.
+  steady_time undisturbed_since{};
 };
 
-/// Each call returns what is wrong, if anything is. What daemons send that were
-/// disturbed is not counted.
-class notice_check {
+/// Functions that check a request return a description of the violation, if
+/// there is one. The caller leaves out requests of daemons that were disturbed
+/// by a fault.
+class feedback_check {
  public:
-  /// An upstream refused a request and asks its daemon for \p rest.
-  std::optional<std::string> OnRestAsked(const notice_arrival& item,
-                                         std::chrono::milliseconds rest);
-  /// A caller got an answer of \p upstream that says that it leaves.
-  void OnLeavingTold(const endpoint& daemon,
-                     const std::string& upstream,
-                     wall_time at);
-  /// A request reached an upstream that leaves.
-  std::optional<std::string> OnLeavingArrival(const notice_arrival& item);
-  /// Requests that were checked.
+  /// Records that an upstream refused a request and asked the daemon that sent
+  /// it for \p backoff.
+  std::optional<std::string> OnBackoffRequested(
+      const feedback_arrival& item,
+      std::chrono::milliseconds backoff);
+  /// Records that a caller received a response of \p upstream that announces
+  /// its departure.
+  void OnLeavingForwarded(const endpoint& daemon,
+                          const std::string& upstream,
+                          steady_time at);
+  /// Records that a request reached an upstream that announces its departure.
+  std::optional<std::string> OnLeavingArrival(const feedback_arrival& item);
+  /// Requests checked so far.
   size_t counted() const { return counted_; }
 
  private:
   using daemon_and_upstream = std::pair<endpoint, std::string>;
-  struct rest_period {
-    wall_time from{};
-    wall_time until{};
+  struct backoff_period {
+    steady_time from{};
+    steady_time until{};
+    /// Requests that were not sent yet when it began and arrived before its
+    /// end.
     int arrivals = 0;
   };
 
-  std::map<daemon_and_upstream, std::vector<rest_period>> rests_;
-  std::map<daemon_and_upstream, std::vector<wall_time>> leaving_told_;
+  std::map<daemon_and_upstream, std::vector<backoff_period>> backoffs_;
+  std::map<daemon_and_upstream, std::vector<steady_time>> leaving_forwarded_;
   size_t counted_ = 0;
 };
 
--- a/test/soak/process_table.h
+++ b/test/soak/process_table.h
@@ -1,5 +1,5 @@
 /// \file
-/// The processes that a soak has started.
+/// The processes started by a soak run.
 #ifndef CUMINSWITCH_TEST_SOAK_PROCESS_TABLE_H_
 #define CUMINSWITCH_TEST_SOAK_PROCESS_TABLE_H_
 
@@ -11,8 +11,9 @@
 
 namespace cuminswitch::soak {
 
-/// Starts programs and signals them by the process ids that it was given, so
-/// that nothing else on the machine is ever ended.
+/// Starts programs and signals them by the process ids of these starts only, so
+/// that no other process on the machine is affected. Kills those still running
+/// when it is destroyed.
 class process_table {
  public:
   process_table() = default;
@@ -20,12 +21,14 @@
   process_table& operator=(const process_table&) = delete;
   ~process_table();
 
-  /// Starts \p arguments as \p name; its output is appended to \p log.
+  /// Starts \p arguments under the name \p name and appends its output to the
+  /// file \p log. Throws `std::runtime_error` if the program cannot be started.
   void Start(const std::string& name,
              const std::vector<std::string>& arguments,
              const std::string& log);
+  /// Does nothing if no process has the name.
   void Signal(const std::string& name, int signal) const;
-  /// Collects processes that have ended, and returns their names.
+  /// Reaps processes that have exited and returns their names.
   std::vector<std::string> Reap();
   bool IsRunning(const std::string& name) const { return pids_.contains(name); }
   size_t size() const { return pids_.size(); }
--- a/test/soak/promise_ledger.h
+++ b/test/soak/promise_ledger.h
@@ -1,5 +1,6 @@
 /// \file
-/// What callers and upstreams saw, held against what is promised.
+/// Checks what callers and upstreams observed against the guarantees of the
+/// system.
 #ifndef CUMINSWITCH_TEST_SOAK_PROMISE_LEDGER_H_
 #define CUMINSWITCH_TEST_SOAK_PROMISE_LEDGER_H_
 
@@ -22,83 +23,97 @@
   std::string id;
   std::string path;
   std::string workspace;
-  /// Where the daemon takes callers that it was sent to.
+  /// The caller address of the daemon that it was sent to.
   endpoint daemon;
-  wall_time sent_at{};
-  /// It may run at most once.
+  steady_time sent_at{};
+  /// Must run at most once.
   bool is_once = false;
   bool is_stream = false;
-  /// Its upstream is to misbehave, so no success is owed.
-  bool is_spoilt = false;
-  /// It crashes each upstream that runs it; the same for those that are one
-  /// request, and empty for all others.
-  std::string crashing_as;
+  /// Makes its upstream misbehave, so that no success is expected.
+  bool provokes_failure = false;
+  /// For requests that crash each upstream that runs them: equal for requests
+  /// that count as one for the quarantine. Empty for all others.
+  std::string crash_group;
 };
 
-/// How a request ended for its caller.
-struct seen_answer {
-  /// 0 when the connection ended without an answer's head.
+/// The outcome of a request as its caller observed it.
+struct observed_response {
+  /// 0 if the connection ended before the head of a response.
   uint32_t status = 0;
-  /// The answer says which request it is for.
+  /// The request id in the response.
   std::string echoed_id;
-  /// The upstream that made it, and whether that names a limit.
+  /// The id of the upstream that responded.
   std::string upstream;
-  bool names_limit = false;
-  bool says_leaving = false;
+  /// The response advertises a rate limit of the upstream.
+  bool advertises_limit = false;
+  /// The response announces that the upstream leaves.
+  bool announces_leaving = false;
   std::string body;
-  /// The answer ended as complete.
-  bool is_whole = false;
+  /// The response ended with its framing complete.
+  bool is_complete = false;
   bool has_retry_after = false;
-  /// The caller gave up waiting.
-  bool is_overdue = false;
-  /// The daemon lived undisturbed since a while before the request, so that
-  /// nothing excuses a missing answer.
-  bool is_daemon_sound = false;
+  /// The caller stopped waiting, some time after its deadline.
+  bool has_timed_out = false;
+  /// No fault has acted on the daemon since well before the request, so that a
+  /// missing response is a violation.
+  bool is_daemon_undisturbed = false;
 };
 
-/// Collects findings. Nothing here waits or guesses: each finding is a promise
-/// broken by what was seen.
-class promise_ledger {
+/// Collects findings, each a guarantee that the observations contradict. Takes
+/// no time-outs of its own and infers nothing that was not observed.
+class guarantee_checker {
  public:
   void OnSent(const sent_request& request);
-  void OnAnswer(const sent_request& request, const seen_answer& answer);
-  /// An upstream says that it ran a request.
+  void OnResponse(const sent_request& request,
+                  const observed_response& response);
+  /// Records that an upstream ran a request, by its log.
   void OnRun(const std::string& id,
              const std::string& workspace,
              const std::string& upstream);
-  /// A request of a sound daemon reached an upstream that names a limit.
-  void OnLimited(const limit_check::arrival& item);
-  /// A request of a sound daemon was refused by an upstream that asks for rest.
-  void OnRested(const notice_arrival& item, std::chrono::milliseconds rest);
-  /// A request of a sound daemon reached an upstream that leaves.
-  void OnLeft(const notice_arrival& item);
-  /// The store acknowledged that an upstream departs.
-  void OnDepartureAcknowledged(const std::string& upstream, wall_time at) {
+  /// Records that a request of an undisturbed daemon reached an upstream that
+  /// advertises a limit.
+  void OnLimitedArrival(const limit_check::arrival& item);
+  /// Records that an upstream refused a request of an undisturbed daemon and
+  /// asked for \p backoff.
+  void OnBackoffRequested(const feedback_arrival& item,
+                          std::chrono::milliseconds backoff);
+  /// Records that a request of an undisturbed daemon reached an upstream that
+  /// announces its departure.
+  void OnLeavingArrival(const feedback_arrival& item);
+  /// Records that the store acknowledged the departure of an upstream.
+  void OnDepartureAcknowledged(const std::string& upstream, steady_time at) {
     departures_.OnAcknowledged(upstream, at);
   }
-  /// A request reached an upstream that departs.
+  /// Records that a request reached an upstream that has departed by its store
+  /// entry.
   void OnArrivalAtDeparted(const std::string& upstream,
-                           wall_time at,
-                           bool is_daemon_in_touch);
-  /// An upstream ran the request \p id, and has crashed if it is one of those.
-  void OnMaybeCrash(const std::string& id, bool is_daemon_sound);
-  /// The daemon that the request was sent to; null where nobody sent it.
+                           steady_time at,
+                           bool has_store_contact);
+  /// Records that an upstream ran the request \p id, and with it a crash if the
+  /// request crashes upstreams.
+  void OnPossibleCrash(const std::string& id, bool is_daemon_undisturbed);
+  /// Returns the caller address of the daemon that the request was sent to;
+  /// null if no caller sent it.
   const endpoint* DaemonOf(const std::string& id) const;
-  /// An engine took an order.
-  void OnOrder(const std::string& upstream,
-               const std::string& holder,
-               uint64_t fence);
-  /// At the end, when nothing is on its way any more.
-  void Close();
-  void Find(const std::string& promise, const std::string& what);
+  /// Records that an engine accepted a command of the leader \p holder.
+  void OnEngineCommand(const std::string& upstream,
+                       const std::string& holder,
+                       uint64_t fence);
+  /// Checks that refused at-most-once requests did not run. Call at the end,
+  /// when no request is in flight.
+  void CheckAtEnd();
+  /// Adds a finding: \p guarantee is the short name of the guarantee, \p what
+  /// the observation that violates it.
+  void ReportViolation(const std::string& guarantee, const std::string& what);
 
   const std::vector<std::string>& findings() const { return findings_; }
+  /// Requests that got a complete response of status 200.
   size_t served() const { return served_; }
   size_t sent() const { return requests_.size(); }
-  /// Requests that limits were checked with.
-  size_t limited() const { return limits_.counted(); }
-  /// Requests that notices of upstreams were checked with.
-  size_t noticed() const { return notices_.counted(); }
+  /// Requests checked against advertised limits.
+  size_t limit_checked() const { return limits_.counted(); }
+  /// Requests checked against feedback of upstreams.
+  size_t feedback_checked() const { return feedback_.counted(); }
   size_t crashes() const { return crashes_.counted(); }
   size_t departures() const { return departures_.counted(); }
   size_t late_at_departed() const { return departures_.late(); }
@@ -106,18 +121,22 @@
  private:
   struct record {
     sent_request request;
+    /// Number of times that upstreams ran it.
     uint32_t runs = 0;
-    uint32_t told = 0;
+    /// The status that its caller received; 0 without a response.
+    uint32_t reported_status = 0;
   };
 
-  void CheckSuccess(const sent_request& request, const seen_answer& answer);
+  void CheckSuccess(const sent_request& request,
+                    const observed_response& response);
 
   std::map<std::string, record> requests_;
-  /// The last fence that each engine saw, and who held each fence.
+  /// The fencing token of the last command by engine, and the leader that holds
+  /// each token.
   std::map<std::string, uint64_t> fences_;
-  std::map<uint64_t, std::string> holders_;
+  std::map<uint64_t, std::string> fence_holders_;
   limit_check limits_;
-  notice_check notices_;
+  feedback_check feedback_;
   crash_check crashes_;
   departure_check departures_;
   std::vector<std::string> findings_;
--- a/test/soak/soak.cc
+++ b/test/soak/soak.cc
@@ -1,6 +1,7 @@
-// A randomized soak: the real programs as processes on loopback, harmed from
-// outside, and held against the promises by what callers and upstreams see.
-// Exits with 1 and prints the findings and the seed when a promise is broken.
+// A randomized soak test: runs the programs as processes on loopback, injects
+// faults from outside, and checks the guarantees by what callers and upstreams
+// observe. Exits with 1 and prints the findings and the seed if a guarantee is
+// violated, and with 2 after any other error.
 #include <event2/event.h>
 
 #include <chrono>
@@ -35,28 +36,29 @@
 };
 
 constexpr std::chrono::milliseconds kTick{100};
-/// All daemons and upstreams are up and know each other by then.
-constexpr std::chrono::seconds kWarmUp{2};
-/// After the last fault everything must be served again within this.
-constexpr std::chrono::seconds kRecovery{12};
-/// Of the requests in the time after that, so many of a hundred must succeed;
-/// one in eight is sent to fail.
-constexpr size_t kLeastServedPercent = 60;
-constexpr std::chrono::seconds kProof{2};
-/// Answers that are on their way come in this time.
-constexpr std::chrono::seconds kEnd{5};
+/// Time until all daemons and upstreams run and have discovered each other.
+constexpr std::chrono::seconds kWarmUpTime{2};
+/// Time after the last fault until all requests must be served again.
+constexpr std::chrono::seconds kRecoveryTime{12};
+/// Percentage of the requests after the recovery that must succeed. One in
+/// eight requests makes its upstream fail on purpose.
+constexpr size_t kMinServedPercent = 60;
+/// How long the success rate after the recovery is measured.
+constexpr std::chrono::seconds kRecoveryCheckTime{2};
+/// Time for the responses to requests in flight at the end.
+constexpr std::chrono::seconds kFinalResponseTime{5};
 
-soak_subject SubjectOf(const soak_options& opts) {
+soak_mode ModeOf(const soak_options& opts) {
   if (opts.limits) {
-    return soak_subject::kLimits;
+    return soak_mode::kLimits;
   }
   if (opts.notices) {
-    return soak_subject::kNotices;
+    return soak_mode::kFeedback;
   }
   if (opts.departures) {
-    return soak_subject::kDepartures;
+    return soak_mode::kDepartures;
   }
-  return opts.crashes ? soak_subject::kCrashes : soak_subject::kAll;
+  return opts.crashes ? soak_mode::kCrashes : soak_mode::kAll;
 }
 
 class soak_run {
@@ -70,10 +72,10 @@
                      .daemons = opts.daemons,
                      .engines = opts.engines,
                      .services = opts.services},
-                    ledger_),
+                    checker_),
         schedule_(base_,
                   static_cast<uint64_t>(opts.seed),
-                  SubjectOf(opts),
+                  ModeOf(opts),
                   deployment_),
         tick_(base_, [this] {
           tick_.Start(kTick);
@@ -81,40 +83,40 @@
         }) {}
   ~soak_run() = default;
 
-  /// Returns the findings.
+  /// Runs the whole soak and returns the findings.
   const std::vector<std::string>& Run() {
     tick_.Start(kTick);
-    Pass(kWarmUp);
+    RunFor(kWarmUpTime);
     for (int i = 0; i < options_.callers; ++i) {
       callers_.push_back(MakeCaller(i));
     }
-    Pass(std::chrono::seconds(1));
+    RunFor(std::chrono::seconds(1));
     schedule_.Start();
-    Pass(std::chrono::seconds(options_.seconds));
+    RunFor(std::chrono::seconds(options_.seconds));
     schedule_.Stop();
-    Pass(kRecovery);
-    const size_t sent = ledger_.sent();
-    const size_t served = ledger_.served();
-    Pass(kProof);
-    CheckRecovery(ledger_.sent() - sent, ledger_.served() - served);
+    RunFor(kRecoveryTime);
+    const size_t sent = checker_.sent();
+    const size_t served = checker_.served();
+    RunFor(kRecoveryCheckTime);
+    CheckRecovery(checker_.sent() - sent, checker_.served() - served);
     for (const auto& caller : callers_) {
       caller->Stop();
     }
-    Pass(kEnd);
-    ledger_.Close();
-    std::cout << "seed " << options_.seed << ": " << ledger_.sent()
-              << " requests, " << ledger_.served() << " served, "
+    RunFor(kFinalResponseTime);
+    checker_.CheckAtEnd();
+    std::cout << "seed " << options_.seed << ": " << checker_.sent()
+              << " requests, " << checker_.served() << " served, "
               << deployment_.processes.size() << " processes, "
-              << ledger_.limited() << " of them held to limits, "
-              << ledger_.noticed() << " to notices, " << ledger_.crashes()
-              << " crashes, " << ledger_.departures() << " departures, "
-              << ledger_.late_at_departed() << " late, "
-              << ledger_.findings().size() << " findings\n";
-    return ledger_.findings();
+              << checker_.limit_checked() << " of them held to limits, "
+              << checker_.feedback_checked() << " to notices, "
+              << checker_.crashes() << " crashes, " << checker_.departures()
+              << " departures, " << checker_.late_at_departed() << " late, "
+              << checker_.findings().size() << " findings\n";
+    return checker_.findings();
   }
 
  private:
-  void Pass(std::chrono::milliseconds time) {
+  void RunFor(std::chrono::milliseconds time) {
     const timeval span{.tv_sec = time.count() / 1000,
                        .tv_usec = time.count() % 1000 * 1000};
     event_base_loopexit(base_, &span);
@@ -135,9 +137,9 @@
                       .daemons[next++ % deployment_.daemons.size()]
                       .front;
                 },
-            .is_sound =
-                [this](const endpoint& front, wall_time since) {
-                  return deployment_.IsSound(front, since);
+            .is_undisturbed =
+                [this](const endpoint& front, steady_time since) {
+                  return deployment_.IsUndisturbed(front, since);
                 },
             .choose_workspace =
                 [this](std::mt19937_64& random) {
@@ -153,27 +155,29 @@
                   }
                 },
             .sends_crashing = options_.crashes},
-        ledger_);
+        checker_);
   }
 
   void CheckRecovery(size_t sent, size_t served) {
-    if (sent == 0 || served * 100 < sent * kLeastServedPercent) {
-      ledger_.Find("recover", "of " + std::to_string(sent) +
-                                  " requests after the faults " +
-                                  std::to_string(served) + " were served");
+    if (sent == 0 || served * 100 < sent * kMinServedPercent) {
+      checker_.ReportViolation("recover", "of " + std::to_string(sent) +
+                                              " requests after the faults " +
+                                              std::to_string(served) +
+                                              " were served");
     }
     for (const upstream_state& item : deployment_.upstreams) {
       if (item.is_engine && item.version != deployment_.weights()) {
-        ledger_.Find("version", item.id + " has weights " +
-                                    std::to_string(item.version) + " of " +
-                                    std::to_string(deployment_.weights()));
+        checker_.ReportViolation("version",
+                                 item.id + " has weights " +
+                                     std::to_string(item.version) + " of " +
+                                     std::to_string(deployment_.weights()));
       }
     }
   }
 
   soak_options options_;
   event_base* base_;
-  promise_ledger ledger_;
+  guarantee_checker checker_;
   deployment deployment_;
   fault_schedule schedule_;
   loop_timer tick_;
@@ -183,27 +187,29 @@
 int Main(int argc, char** argv) {
   soak_options options;
   option_parser parser("soak", "[OPTION...]");
-  parser.AddInteger("seed", options.seed, "Decides what is done, and when");
-  parser.AddInteger("seconds", options.seconds, "How long faults are made");
+  parser.AddInteger("seed", options.seed,
+                    "Seed of the faults and the requests");
+  parser.AddInteger("seconds", options.seconds, "How long faults are injected");
   parser.AddInteger("daemons", options.daemons, "Daemons to start");
   parser.AddInteger("engines", options.engines, "Engines to start");
   parser.AddInteger("services", options.services, "Plain services to start");
   parser.AddInteger("callers", options.callers, "Callers at a time");
   parser.AddFlag("limits", options.limits,
-                 "Upstreams name limits, and are left alone otherwise");
+                 "Upstreams advertise limits, without other upstream faults");
   parser.AddFlag("crashes", options.crashes,
                  "Some requests crash the upstreams that run them");
   parser.AddFlag("notices", options.notices,
-                 "Upstreams ask for rest, and say that they leave");
+                 "Upstreams ask for backoff and announce that they leave");
   parser.AddFlag("departures", options.departures,
-                 "Upstreams depart while daemons lose the store");
+                 "Upstreams depart while the store is unavailable");
   parser.AddString("build", options.build_folder, "The build folder", "FOLDER");
   parser.AddString("work", options.work_folder,
-                   "Where logs go; kept when a promise is broken", "FOLDER");
+                   "Folder of the logs; kept if there are findings", "FOLDER");
   parser.Parse(ArgumentsOf(argc, argv));
   std::signal(SIGPIPE, SIG_IGN);
   if (std::filesystem::exists(options.work_folder)) {
-    throw usage_error(options.work_folder + " exists; its logs would be mixed");
+    throw usage_error(options.work_folder +
+                      " already exists; remove it or choose another folder");
   }
   std::filesystem::create_directories(options.work_folder);
   soak_run run(options);
--- a/test/soak/soak_caller.cc
+++ b/test/soak/soak_caller.cc
@@ -11,28 +11,31 @@
 
 namespace cuminswitch::soak {
 
-/// What the caller waits at most, as it tells the daemon.
+/// The deadline that the caller sends with each request.
 static constexpr std::chrono::milliseconds kDeadline{2'000};
-/// Past the deadline, by which a daemon must have answered: half a second as
-/// promised, and what a loaded test machine may add.
-static constexpr std::chrono::milliseconds kOverdue{2'500};
-static constexpr std::chrono::milliseconds kReconnectPause{40};
-static constexpr int kLongestPauseMs = 40;
-/// One request in so many goes to an upstream that misbehaves on purpose.
-static constexpr uint64_t kSpoiltPart = 8;
-/// One in so many crashes its upstream, where any does.
-static constexpr uint64_t kCrashingPart = 40;
-/// For so long all callers' requests of this kind are one request.
-static constexpr std::chrono::seconds kCrashingTime{8};
-
-soak_caller::soak_caller(event_base* base, options opts, promise_ledger& ledger)
+/// Time after the deadline by which a daemon must have responded: the
+/// guaranteed 0.5 s and an allowance for a loaded test machine.
+static constexpr std::chrono::milliseconds kResponseMargin{2'500};
+static constexpr std::chrono::milliseconds kReconnectDelay{40};
+/// Longest pause between a response and the next request.
+static constexpr int kMaxThinkTimeMs = 40;
+/// One request in this many makes its upstream misbehave on purpose.
+static constexpr uint64_t kFailingRequestPeriod = 8;
+/// One request in this many crashes its upstream, if `sends_crashing` is set.
+static constexpr uint64_t kCrashingRequestPeriod = 40;
+/// Time during which all callers send the same crashing request.
+static constexpr std::chrono::seconds kCrashGroupTime{8};
+
+soak_caller::soak_caller(event_base* base,
+                         options opts,
+                         guarantee_checker& checker)
     : base_(base),
       options_(std::move(opts)),
-      ledger_(ledger),
+      checker_(checker),
       random_(options_.seed),
       timer_(base, [this] {
         if (is_waiting_) {
-          answer_.is_overdue = true;
+          response_.has_timed_out = true;
           OnClosed();
         } else if (connection_ == nullptr) {
           Connect();
@@ -88,8 +91,8 @@
   }
   static constexpr std::array<const char*, 4> kRoutes = {
       "/once/", "/repeat/", "/stream/", "/resume/"};
-  static constexpr std::array<const char*, 3> kSpoilt = {"fail/", "cut/",
-                                                         "refuse/"};
+  static constexpr std::array<const char*, 3> kFailurePaths = {"fail/", "cut/",
+                                                               "refuse/"};
   const size_t route = random_() % kRoutes.size();
   const auto [credential, workspace] = options_.choose_workspace(random_);
   request_ = {.id = options_.name + "-" + std::to_string(++count_),
@@ -99,18 +102,18 @@
               .sent_at = std::chrono::steady_clock::now(),
               .is_once = route == 0 || route == 2,
               .is_stream = route >= 2,
-              .is_spoilt = random_() % kSpoiltPart == 0};
-  if (request_.is_spoilt) {
-    request_.path += kSpoilt[random_() % kSpoilt.size()];
+              .provokes_failure = random_() % kFailingRequestPeriod == 0};
+  if (request_.provokes_failure) {
+    request_.path += kFailurePaths[random_() % kFailurePaths.size()];
   }
-  answer_ = {};
+  response_ = {};
   std::string body = "order " + request_.id;
   std::string key = credential;
-  if (options_.sends_crashing && random_() % kCrashingPart == 0) {
+  if (options_.sends_crashing && random_() % kCrashingRequestPeriod == 0) {
     MakeCrashing(body);
     key = "key1";
   }
-  ledger_.OnSent(request_);
+  checker_.OnSent(request_);
   const std::string text =
       "POST " + request_.path +
       "x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: " + request_.id +
@@ -121,33 +124,33 @@
       "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   is_waiting_ = true;
   bufferevent_write(connection_, text.data(), text.size());
-  timer_.Start(kDeadline + kOverdue);
+  timer_.Start(kDeadline + kResponseMargin);
 }
 
 void soak_caller::MakeCrashing(std::string& body) {
-  const auto since = request_.sent_at.time_since_epoch() / kCrashingTime;
+  const auto since = request_.sent_at.time_since_epoch() / kCrashGroupTime;
   const bool is_once = since % 2 == 0;
   body = "crashing order " + std::to_string(since);
   request_.path = is_once ? "/once/crash/" : "/resume/crash/";
   request_.workspace = "w1";
   request_.is_once = is_once;
   request_.is_stream = !is_once;
-  request_.is_spoilt = true;
-  request_.crashing_as = body;
+  request_.provokes_failure = true;
+  request_.crash_group = body;
 }
 
 void soak_caller::OnHead(message_head head) {
-  answer_.status = head.status;
-  answer_.echoed_id = head.Find("X-Attempt-Id");
-  answer_.upstream = head.Find("X-Replica-Stamp");
-  answer_.names_limit = head.Has("Server-Limit");
-  answer_.says_leaving = head.Has("Server-Leaving");
-  answer_.has_retry_after = head.Has("Retry-After");
-  is_kept_ = head.keep_alive;
+  response_.status = head.status;
+  response_.echoed_id = head.Find("X-Attempt-Id");
+  response_.upstream = head.Find("X-Replica-Stamp");
+  response_.advertises_limit = head.Has("Server-Limit");
+  response_.announces_leaving = head.Has("Server-Leaving");
+  response_.has_retry_after = head.Has("Retry-After");
+  keeps_connection_ = head.keep_alive;
 }
 
 void soak_caller::OnBody(std::string_view data) {
-  answer_.body += data;
+  response_.body += data;
 }
 
 void soak_caller::OnReadable() {
@@ -157,9 +160,10 @@
   std::string_view rest = data;
   while (!rest.empty()) {
     if (!is_waiting_) {
-      ledger_.Find("mixed", options_.name + " got bytes for no request");
+      checker_.ReportViolation(
+          "mixed", options_.name + " got bytes while no request was pending");
       Disconnect();
-      timer_.Start(kReconnectPause);
+      timer_.Start(kReconnectDelay);
       return;
     }
     size_t consumed = 0;
@@ -169,15 +173,16 @@
       return;
     }
     if (result != read_result::kMessageDone) {
-      ledger_.Find("mixed", request_.id + " got what is no answer");
+      checker_.ReportViolation("mixed",
+                               request_.id + " got a malformed response");
       OnClosed();
       return;
     }
-    answer_.is_whole = true;
+    response_.is_complete = true;
     EndRequest();
-    if (!is_kept_) {
+    if (!keeps_connection_) {
       Disconnect();
-      timer_.Start(kReconnectPause);
+      timer_.Start(kReconnectDelay);
       return;
     }
   }
@@ -185,9 +190,10 @@
 
 void soak_caller::EndRequest() {
   is_waiting_ = false;
-  answer_.is_daemon_sound = options_.is_sound(daemon_, request_.sent_at);
-  ledger_.OnAnswer(request_, answer_);
-  timer_.Start(std::chrono::milliseconds(1 + random_() % kLongestPauseMs));
+  response_.is_daemon_undisturbed =
+      options_.is_undisturbed(daemon_, request_.sent_at);
+  checker_.OnResponse(request_, response_);
+  timer_.Start(std::chrono::milliseconds(1 + random_() % kMaxThinkTimeMs));
 }
 
 void soak_caller::OnClosed() {
@@ -195,7 +201,7 @@
     EndRequest();
   }
   Disconnect();
-  timer_.Start(kReconnectPause);
+  timer_.Start(kReconnectDelay);
 }
 
 }  // namespace cuminswitch::soak
--- a/test/soak/soak_caller.h
+++ b/test/soak/soak_caller.h
@@ -1,5 +1,5 @@
 /// \file
-/// A caller that keeps its connection to one daemon until that is gone.
+/// A caller that keeps its connection to a daemon until it closes.
 #ifndef CUMINSWITCH_TEST_SOAK_SOAK_CALLER_H_
 #define CUMINSWITCH_TEST_SOAK_SOAK_CALLER_H_
 
@@ -18,25 +18,26 @@
 
 namespace cuminswitch::soak {
 
-/// Sends one request after the other on one connection, and opens the next one
-/// only when that is gone.
+/// Sends one request after the other on one connection. Connects to the next
+/// daemon only when the connection has ended.
 class soak_caller : public message_sink {
  public:
   struct options {
     std::string name;
     uint64_t seed = 0;
-    /// Where to connect next.
+    /// Returns the caller address of the daemon to connect to next.
     std::function<endpoint()> choose_daemon;
-    /// Whether the daemon at an address was undisturbed since a time.
-    std::function<bool(const endpoint&, wall_time)> is_sound;
-    /// The credential and workspace to use now.
+    /// Whether the daemon at an address has been undisturbed since well before
+    /// a time.
+    std::function<bool(const endpoint&, steady_time)> is_undisturbed;
+    /// Returns a credential and its workspace for the next request.
     std::function<std::pair<std::string, std::string>(std::mt19937_64&)>
         choose_workspace;
-    /// Sends requests that crash upstreams, too.
+    /// Also sends requests that crash upstreams.
     bool sends_crashing = false;
   };
 
-  soak_caller(event_base* base, options opts, promise_ledger& ledger);
+  soak_caller(event_base* base, options opts, guarantee_checker& checker);
   ~soak_caller() override;
 
   /// Sends no further requests.
@@ -50,8 +51,8 @@
   void Connect();
   void Disconnect();
   void SendNext();
-  /// Makes the next request one that crashes upstreams, the same for all
-  /// callers for some seconds.
+  /// Turns the next request into one that crashes upstreams. All callers send
+  /// the same such request for some seconds.
   void MakeCrashing(std::string& body);
   void OnReadable();
   void OnClosed();
@@ -59,16 +60,16 @@
 
   event_base* base_;
   options options_;
-  promise_ledger& ledger_;
+  guarantee_checker& checker_;
   std::mt19937_64 random_;
   loop_timer timer_;
   bufferevent* connection_ = nullptr;
   endpoint daemon_;
   std::unique_ptr<message_reader> reader_;
   sent_request request_;
-  seen_answer answer_;
+  observed_response response_;
   bool is_waiting_ = false;
-  bool is_kept_ = false;
+  bool keeps_connection_ = false;
   bool is_stopping_ = false;
   uint64_t count_ = 0;
 };
--- a/test/soak/wall_time.h
+++ b/test/soak/wall_time.h
@@ -1,5 +1,6 @@
 /// \file
-/// The clock that the soak and its stand-ins share.
+/// The monotonic clock, which the soak shares with its stand-ins: processes of
+/// one machine read the same time.
 #ifndef CUMINSWITCH_TEST_SOAK_WALL_TIME_H_
 #define CUMINSWITCH_TEST_SOAK_WALL_TIME_H_
 
@@ -7,7 +8,7 @@
 
 namespace cuminswitch::soak {
 
-using wall_time = std::chrono::steady_clock::time_point;
+using steady_time = std::chrono::steady_clock::time_point;
 
 }  // namespace cuminswitch::soak
 
