--- a/test/soak/crash_check.h
+++ b/test/soak/crash_check.h
@@ -8,7 +8,7 @@
 #include <optional>
 #include <string>
 
-#include "soak/wall_time.h"
+#include "soak/steady_time.h"
 
 namespace cuminswitch::soak {
 
--- a/test/soak/departure_check.h
+++ b/test/soak/departure_check.h
@@ -9,7 +9,7 @@
 #include <optional>
 #include <string>
 
-#include "soak/wall_time.h"
+#include "soak/steady_time.h"
 
 namespace cuminswitch::soak {
 
--- a/test/soak/deployment.h
+++ b/test/soak/deployment.h
@@ -14,8 +14,8 @@
 
 #include "platform/json_call.h"
 #include "soak/fault_proxy.h"
+#include "soak/guarantee_checker.h"
 #include "soak/process_table.h"
-#include "soak/promise_ledger.h"
 
 namespace cuminswitch::soak {
 
--- a/test/soak/notice_check.cc
+++ b/test/soak/feedback_check.cc
@@ -1,4 +1,4 @@
-#include "soak/notice_check.h"
+#include "soak/feedback_check.h"
 
 #include <algorithm>
 
--- a/test/soak/notice_check.h
+++ b/test/soak/feedback_check.h
@@ -1,8 +1,8 @@
 /// \file
 /// Checks that daemons obey the feedback of upstreams: requested backoff and
 /// announced departures.
-#ifndef CUMINSWITCH_TEST_SOAK_NOTICE_CHECK_H_
-#define CUMINSWITCH_TEST_SOAK_NOTICE_CHECK_H_
+#ifndef CUMINSWITCH_TEST_SOAK_FEEDBACK_CHECK_H_
+#define CUMINSWITCH_TEST_SOAK_FEEDBACK_CHECK_H_
 
 #include <map>
 #include <optional>
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "cuminswitch/Support/endpoint.h"
-#include "soak/wall_time.h"
+#include "soak/steady_time.h"
 
 namespace cuminswitch::soak {
 
@@ -63,4 +63,4 @@
 
 }  // namespace cuminswitch::soak
 
-#endif  // CUMINSWITCH_TEST_SOAK_NOTICE_CHECK_H_
+#endif  // CUMINSWITCH_TEST_SOAK_FEEDBACK_CHECK_H_
--- a/test/soak/promise_ledger.cc
+++ b/test/soak/guarantee_checker.cc
@@ -1,4 +1,4 @@
-#include "soak/promise_ledger.h"
+#include "soak/guarantee_checker.h"
 
 namespace cuminswitch::soak {
 
--- a/test/soak/promise_ledger.h
+++ b/test/soak/guarantee_checker.h
@@ -1,8 +1,8 @@
 /// \file
 /// Checks what callers and upstreams observed against the guarantees of the
 /// system.
-#ifndef CUMINSWITCH_TEST_SOAK_PROMISE_LEDGER_H_
-#define CUMINSWITCH_TEST_SOAK_PROMISE_LEDGER_H_
+#ifndef CUMINSWITCH_TEST_SOAK_GUARANTEE_CHECKER_H_
+#define CUMINSWITCH_TEST_SOAK_GUARANTEE_CHECKER_H_
 
 #include <cstdint>
 #include <map>
@@ -12,9 +12,9 @@
 #include "cuminswitch/Support/endpoint.h"
 #include "soak/crash_check.h"
 #include "soak/departure_check.h"
+#include "soak/feedback_check.h"
 #include "soak/limit_check.h"
-#include "soak/notice_check.h"
-#include "soak/wall_time.h"
+#include "soak/steady_time.h"
 
 namespace cuminswitch::soak {
 
@@ -145,4 +145,4 @@
 
 }  // namespace cuminswitch::soak
 
-#endif  // CUMINSWITCH_TEST_SOAK_PROMISE_LEDGER_H_
+#endif  // CUMINSWITCH_TEST_SOAK_GUARANTEE_CHECKER_H_
--- a/test/soak/limit_check.h
+++ b/test/soak/limit_check.h
@@ -11,7 +11,7 @@
 #include <utility>
 
 #include "cuminswitch/Support/endpoint.h"
-#include "soak/wall_time.h"
+#include "soak/steady_time.h"
 
 namespace cuminswitch::soak {
 
--- a/test/soak/soak_caller.h
+++ b/test/soak/soak_caller.h
@@ -11,7 +11,7 @@
 #include "cuminswitch/Http1/message_reader.h"
 #include "cuminswitch/Net/loop_timer.h"
 #include "cuminswitch/Support/endpoint.h"
-#include "soak/promise_ledger.h"
+#include "soak/guarantee_checker.h"
 
 struct bufferevent;
 struct event_base;
