--- a/test/soak/guarantee_checker.cc
+++ b/test/soak/guarantee_checker.cc
@@ -5,7 +5,7 @@
 /// Number of events in each stream of the stand-ins.
 static constexpr int kEvents = 5;
 
-void guarantee_checker::ReportViolation(const std::string& promise,
+void guarantee_checker::ReportViolation(const std::string& guarantee,
                                         const std::string& what) {
   findings_.push_back(guarantee + ": " + what);
 }
