--- a/test/Scenario/fake_platform.cc
+++ b/test/Scenario/fake_platform.cc
@@ -50,8 +50,8 @@
              .key = key,
              .value = value,
              .expected = expected});
-  if (lose_operator_answers_ > 0 && answer.status == platform_status::kOk) {
-    --lose_operator_answers_;
+  if (lose_operator_replies_ > 0 && answer.status == platform_status::kOk) {
+    --lose_operator_replies_;
     answer.status = platform_status::kNoAnswer;
   }
   return answer;
--- a/test/Scenario/fake_platform.h
+++ b/test/Scenario/fake_platform.h
@@ -1,5 +1,6 @@
-// The platform's key-value service inside the scenario world: revisions,
-// compare-and-swap and watches, with outages, slowness and lost answers.
+// The key-value store of the platform in a simulated world: revisions,
+// compare-and-swap and lost replies. The world simulates watches, outages and
+// delays.
 #ifndef CUMINSWITCH_TEST_SCENARIO_FAKE_PLATFORM_H_
 #define CUMINSWITCH_TEST_SCENARIO_FAKE_PLATFORM_H_
 
@@ -12,24 +13,29 @@
 
 namespace cuminswitch {
 
-/// The stored values. When and whether answers arrive is the world's business.
+/// Stores the values and applies calls to them. The world decides when and
+/// whether replies arrive.
 class fake_platform : public platform_store {
  public:
-  /// Carries the call out at once.
+  /// Applies the call at once and returns its reply.
   platform_answer Apply(const platform_call& call);
 
-  /// For operators' tools, which run outside the world's time.
+  // For the tools of operators, which run outside the virtual clock.
   platform_answer Read(const std::string& key) override;
   platform_answer CompareAndSwap(const std::string& key,
                                  const std::string& value,
                                  revision_number expected) override;
 
+  /// Returns the revision of the value at \p key; 0 if there is none.
   revision_number RevisionOf(const std::string& key) const;
   void SetHosts(std::vector<listed_host> hosts) { hosts_ = std::move(hosts); }
+  /// Calls of any kind so far, those of operators included.
   uint64_t call_count() const { return calls_; }
+  /// Compare-and-swap calls so far, failed ones included.
   uint64_t write_count() const { return writes_; }
-  /// Makes the next \p count operators' writes take effect without an answer.
-  void LoseOperatorAnswers(int count) { lose_operator_answers_ = count; }
+  /// Drops the replies to the next \p count successful writes of operators,
+  /// which take effect.
+  void LoseOperatorReplies(int count) { lose_operator_replies_ = count; }
 
  private:
   struct stored_value {
@@ -42,7 +48,7 @@
   revision_number last_revision_ = 0;
   uint64_t calls_ = 0;
   uint64_t writes_ = 0;
-  int lose_operator_answers_ = 0;
+  int lose_operator_replies_ = 0;
 };
 
 }  // namespace cuminswitch
--- a/test/Scenario/script.cc
+++ b/test/Scenario/script.cc
@@ -9,8 +9,8 @@
 
 namespace cuminswitch {
 
-static constexpr duration kWaitStep = std::chrono::milliseconds(10);
-static constexpr duration kSettleAtEnd = std::chrono::seconds(30);
+static constexpr duration kConditionInterval = std::chrono::milliseconds(10);
+static constexpr duration kFinalSettleTime = std::chrono::seconds(30);
 
 static std::string Join(const std::vector<std::string>& words) {
   std::string text;
@@ -24,7 +24,7 @@
   return std::chrono::milliseconds(std::stoll(text));
 }
 
-/// Returns the word behind \p name, if the line has it.
+/// Returns the word after \p name, if the line has both.
 static std::optional<std::string> Option(const std::vector<std::string>& line,
                                          const std::string& name) {
   const auto found = std::find(line.begin(), line.end(), name);
@@ -100,9 +100,9 @@
   } else if (what == "slow") {
     w.SetPlatformDelay(Millis(line.at(2)));
   } else if (what == "lose") {
-    w.LoseAnswers(std::stoi(line.at(2)));
+    w.LoseReplies(std::stoi(line.at(2)));
   } else if (what == "lose-operator") {
-    w.platform().LoseOperatorAnswers(std::stoi(line.at(2)));
+    w.platform().LoseOperatorReplies(std::stoi(line.at(2)));
   } else {
     throw script_error("unknown platform command " + what);
   }
@@ -222,7 +222,7 @@
       return;
     }
   }
-  throw script_error("no host is the " + line[2]);
+  throw script_error("no running host is the " + line[2] + " of shard 0");
 }
 
 void script::Substitute(words& line) const {
@@ -238,9 +238,9 @@
   const words condition(line.begin() + 3, line.end());
   while (!Holds(condition)) {
     if (GetWorld().now() >= deadline) {
-      throw script_error("waited in vain until " + Join(condition));
+      throw script_error("time-out of wait until " + Join(condition));
     }
-    GetWorld().RunFor(kWaitStep);
+    GetWorld().RunFor(kConditionInterval);
   }
 }
 
@@ -316,7 +316,7 @@
   for (std::string line; std::getline(lines, line);) {
     RunLine(line, ++number);
   }
-  GetWorld().RunFor(kSettleAtEnd);
+  GetWorld().RunFor(kFinalSettleTime);
   GetWorld().CheckEnd();
 }
 
--- a/test/Scenario/world.cc
+++ b/test/Scenario/world.cc
@@ -8,12 +8,15 @@
 
 namespace cuminswitch {
 
-static constexpr duration kHop = std::chrono::milliseconds(1);
+/// Delay of each message between hosts, upstreams and callers.
+static constexpr duration kMessageDelay = std::chrono::milliseconds(1);
+/// Time after which a host gives up a call to the platform.
 static constexpr duration kPlatformTimeout = std::chrono::milliseconds(1500);
-static constexpr duration kWatchTime = std::chrono::seconds(20);
-static constexpr duration kWatchPoll = std::chrono::milliseconds(10);
-static constexpr uint64_t kUnixAtZero = 1'800'000'000;
-/// The promise is "a few seconds".
+static constexpr duration kWatchTimeout = std::chrono::seconds(20);
+static constexpr duration kWatchPollInterval = std::chrono::milliseconds(10);
+static constexpr uint64_t kUnixSecondsAtZero = 1'800'000'000;
+/// Time after its announcement during which a leaving upstream may still get
+/// requests. The guarantee is "a few seconds".
 static constexpr duration kLeavingGrace = std::chrono::seconds(3);
 static constexpr const char* kPlatformName = "platform";
 static constexpr uint32_t kOk = 200;
@@ -31,10 +34,10 @@
   }
 }
 
-void world::Break(const std::string& what) const {
-  throw broken_promise("at " +
-                       std::to_string(ToSeconds(now_.time_since_epoch())) +
-                       " s: " + what);
+void world::ReportViolation(const std::string& what) const {
+  throw guarantee_violation("at " +
+                            std::to_string(ToSeconds(now_.time_since_epoch())) +
+                            " s: " + what);
 }
 
 world::world_host& world::Host(const std::string& name) {
@@ -94,8 +97,8 @@
   host.frozen = false;
   host.stop_ready = false;
   host.generation = 0;
-  host.held.clear();
-  host.known_members.clear();
+  host.frozen_events.clear();
+  host.reported_members.clear();
   host.running.clear();
   std::vector<endpoint> seeds;
   for (const auto& [other, item] : hosts_) {
@@ -109,7 +112,7 @@
                .incarnation = host.incarnation},
       .seeds = seeds,
       .random_seed = CombineHash(options_.seed, host.incarnation),
-      .unix_seconds_at_zero = kUnixAtZero,
+      .unix_seconds_at_zero = kUnixSecondsAtZero,
       .shard_count = options_.shard_count,
       .key_retention = options_.key_retention});
   Tick(name, host.incarnation);
@@ -131,7 +134,7 @@
   world_host& host = Host(name);
   host.core.reset();
   host.frozen = false;
-  // Its callers' connections break: they cannot know more than that.
+  // Its callers only see a lost connection, so their requests end as unknown.
   for (auto& [request, item] : requests_) {
     if (item.host == name && !item.ended) {
       EndRequest(item, outcome::kUnknown, 0, 0, {});
@@ -148,9 +151,10 @@
   if (!std::exchange(host.frozen, false)) {
     return;
   }
-  // The worse order: what is late by its clock first, then what came meanwhile.
+  // Delivers the tick, which runs its overdue timers, before the events of the
+  // frozen time: the harder order for the core.
   FeedLater(duration{0}, name, host.incarnation, tick{});
-  for (core_event& event : std::exchange(host.held, {})) {
+  for (core_event& event : std::exchange(host.frozen_events, {})) {
     FeedLater(duration{0}, name, host.incarnation, std::move(event));
   }
 }
@@ -178,7 +182,7 @@
     if (host.core == nullptr || host.incarnation != incarnation) {
       return;
     }
-    Carry(host, action);
+    Execute(host, action);
   }
 }
 
@@ -192,14 +196,14 @@
       return;
     }
     if (host.frozen) {
-      host.held.push_back(event);
+      host.frozen_events.push_back(event);
       return;
     }
     Feed(host, event);
   });
 }
 
-void world::Carry(world_host& host, const core_action& action) {
+void world::Execute(world_host& host, const core_action& action) {
   std::visit([&](const auto& item) { Do(host, item); }, action);
 }
 
@@ -209,24 +213,24 @@
   }
   for (auto& [name, other] : hosts_) {
     if (other.peer_address == action.to && !IsCut(host.name, name)) {
-      FeedLater(kHop, name, other.incarnation,
+      FeedLater(kMessageDelay, name, other.incarnation,
                 peer_received{.message = action.message});
     }
   }
 }
 
-void world::AnswerWatch(const std::string& name,
-                        uint64_t incarnation,
-                        const platform_call& call,
-                        time_point until) {
+void world::ServeWatch(const std::string& name,
+                       uint64_t incarnation,
+                       const platform_call& call,
+                       time_point until) {
   if (platform_down_ || IsCut(name, kPlatformName)) {
     FeedLater(kPlatformTimeout, name, incarnation,
               platform_answer{.tag = call.tag});
     return;
   }
   if (platform_.RevisionOf(call.key) == call.expected && now_ < until) {
-    After(kWatchPoll, [this, name, incarnation, call, until] {
-      AnswerWatch(name, incarnation, call, until);
+    After(kWatchPollInterval, [this, name, incarnation, call, until] {
+      ServeWatch(name, incarnation, call, until);
     });
     return;
   }
@@ -237,7 +241,7 @@
   const std::string name = host.name;
   const uint64_t incarnation = host.incarnation;
   if (call.operation == platform_operation::kWatch) {
-    AnswerWatch(name, incarnation, call, now_ + kWatchTime);
+    ServeWatch(name, incarnation, call, now_ + kWatchTimeout);
     return;
   }
   const platform_answer no_answer{.tag = call.tag};
@@ -248,11 +252,11 @@
   After(platform_delay_ / 2, [this, name, incarnation, call, no_answer] {
     platform_answer answer = platform_.Apply(call);
     const bool is_write = call.operation == platform_operation::kCompareAndSwap;
-    const bool lost = (is_write && lose_answers_ > 0) || platform_down_ ||
+    const bool lost = (is_write && lose_replies_ > 0) || platform_down_ ||
                       IsCut(name, kPlatformName) ||
                       platform_delay_ > kPlatformTimeout;
-    if (is_write && lose_answers_ > 0) {
-      --lose_answers_;
+    if (is_write && lose_replies_ > 0) {
+      --lose_replies_;
     }
     FeedLater(lost ? kPlatformTimeout : platform_delay_ / 2, name, incarnation,
               lost ? no_answer : answer);
@@ -272,14 +276,15 @@
       report.models.push_back({.name = target, .version = upstream.version});
     }
   }
-  FeedLater(2 * kHop, host.name, host.incarnation, report);
+  FeedLater(2 * kMessageDelay, host.name, host.incarnation, report);
 }
 
 void world::Do(world_host& host, const configuration_adopted& action) {
   if (action.generation <= host.generation) {
-    Break("configuration of " + host.name + " reverted from generation " +
-          std::to_string(host.generation) + " to " +
-          std::to_string(action.generation));
+    ReportViolation("configuration of " + host.name +
+                    " reverted from generation " +
+                    std::to_string(host.generation) + " to " +
+                    std::to_string(action.generation));
   }
   host.generation = action.generation;
 }
@@ -289,18 +294,19 @@
   for (const member& item : action.members) {
     members.insert(item.host);
   }
-  for (const std::string& name : host.known_members) {
+  for (const std::string& name : host.reported_members) {
     if (!members.contains(name) && IsRunning(name) && !IsFrozen(name)) {
       ++false_deaths_;
     }
   }
-  host.known_members = std::move(members);
+  host.reported_members = std::move(members);
 }
 
 void world::Do(world_host& host, const stop_ready& /*action*/) {
   for (const auto& [name, item] : requests_) {
     if (item.host == host.name && !item.ended) {
-      Break("graceful stop of " + host.name + " cuts off request " + name);
+      ReportViolation("graceful stop of " + host.name + " aborts request " +
+                      name);
     }
   }
   host.stop_ready = true;
@@ -314,7 +320,8 @@
 void world::Do(world_host& host, const answer_request& action) {
   const auto found = request_names_.find(action.request);
   if (found == request_names_.end()) {
-    Break("an answer to a request that nobody sent from " + host.name);
+    ReportViolation("a response to a request that no caller sent from " +
+                    host.name);
   }
   EndRequest(requests_.at(found->second), action.result, action.status,
              action.retry_after_seconds, action.recorded.body);
@@ -327,11 +334,12 @@
   const uint64_t incarnation = host.incarnation;
   const world_upstream& upstream = Upstream(action.upstream);
   if (upstream.leaving && now_ - upstream.leaving_since > kLeavingGrace) {
-    Break("request " + request + " goes to " + action.upstream +
-          ", which has been leaving for " +
-          std::to_string(ToSeconds(now_ - upstream.leaving_since)) + " s");
+    ReportViolation("request " + request + " goes to " + action.upstream +
+                    ", which has been leaving for " +
+                    std::to_string(ToSeconds(now_ - upstream.leaving_since)) +
+                    " s");
   }
-  After(kHop, [this, name, incarnation, action] {
+  After(kMessageDelay, [this, name, incarnation, action] {
     Arrive(name, incarnation, action);
   });
 }
@@ -342,14 +350,15 @@
   ++item.runs;
   item.upstreams.push_back(upstream.spec.name);
   if (item.ended && item.result == outcome::kNotRun) {
-    Break("request " + request + " ran after its caller was told not_run");
+    ReportViolation("request " + request + " ran after its caller got not_run");
   }
   if (item.key.empty()) {
     return;
   }
   if (++runs_by_key_[item.key] > 1) {
-    Break("key " + item.key + " ran twice, the second time as request " +
-          request + " on " + upstream.spec.name);
+    ReportViolation("key " + item.key +
+                    " ran twice, the second time as request " + request +
+                    " on " + upstream.spec.name);
   }
 }
 
@@ -376,8 +385,9 @@
   }
   if (upstream.spec.kind == upstream_kind::kEngine &&
       upstream.version != version_) {
-    Break("request " + request + " is answered from weights " +
-          upstream.version + " while " + version_ + " are configured");
+    ReportViolation("request " + request + " is answered from weights " +
+                    upstream.version + " while " + version_ +
+                    " are configured");
   }
   RecordRun(upstream, request);
   if (upstream.mode == upstream_mode::kBreaking) {
@@ -404,7 +414,7 @@
                        uint64_t incarnation,
                        const attempt_ended& event,
                        const std::string& request) {
-  After(kHop, [this, name, incarnation, event, request] {
+  After(kMessageDelay, [this, name, incarnation, event, request] {
     world_host& host = Host(name);
     if (host.core == nullptr || host.incarnation != incarnation) {
       return;
@@ -424,20 +434,21 @@
                        uint32_t retry_after,
                        const std::string& answer) {
   if (item.ended) {
-    // A caller that was cut off by a kill has ended already.
+    // The requests of a killed host have ended already, with status 0.
     if (item.status != 0) {
-      Break("request " + item.name + " is answered twice");
+      ReportViolation("request " + item.name + " gets two responses");
     }
     return;
   }
   if (result == outcome::kNotRun && item.runs != 0) {
-    Break("request " + item.name + " ran, and its caller is told not_run");
+    ReportViolation("request " + item.name +
+                    " ran, and its caller gets not_run");
   }
   const bool other_request = status == kUnprocessable;
   if (result == outcome::kNotRun && RunsOfKey(item.key) != 0 &&
       !other_request) {
-    Break("key " + item.key + " ran, and request " + item.name +
-          " is told not_run");
+    ReportViolation("key " + item.key + " ran, and request " + item.name +
+                    " gets not_run");
   }
   item.ended = true;
   item.ended_at = now_;
@@ -503,7 +514,7 @@
     return;
   }
   const uint64_t issued =
-      kUnixAtZero - opts.key_age_seconds +
+      kUnixSecondsAtZero - opts.key_age_seconds +
       static_cast<uint64_t>(ToSeconds(now_.time_since_epoch()));
   request_arrived event{.request = id,
                         .workspace = opts.workspace,
@@ -530,12 +541,12 @@
 void world::CheckEnd() const {
   for (const auto& [name, item] : requests_) {
     if (!item.ended) {
-      Break("request " + name + " got no answer");
+      ReportViolation("request " + name + " got no response");
     }
     const bool own = item.answer.empty() || !item.key.empty() ||
                      item.answer == "answer to " + name;
     if (!own) {
-      Break("request " + name + " got \"" + item.answer + "\"");
+      ReportViolation("request " + name + " got \"" + item.answer + "\"");
     }
   }
 }
--- a/test/Scenario/world.h
+++ b/test/Scenario/world.h
@@ -1,6 +1,6 @@
-// A small world of decision cores under a virtual clock: hosts, one platform,
-// upstreams and callers, joined by messages that take a millisecond, and the
-// faults that a scenario asks for. It checks the promises after every event.
+// Simulates decision cores under a virtual clock: hosts, one platform,
+// upstreams and callers, connected by messages that take 1 ms, and the faults
+// of a scenario. Checks the guarantees of the system after every event.
 #ifndef CUMINSWITCH_TEST_SCENARIO_WORLD_H_
 #define CUMINSWITCH_TEST_SCENARIO_WORLD_H_
 
@@ -19,8 +19,9 @@
 
 namespace cuminswitch {
 
-/// Thrown when a promise is broken; says which, and when.
-class broken_promise : public std::runtime_error {
+/// Thrown when a guarantee is violated; the message contains the violation and
+/// the virtual time.
+class guarantee_violation : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
@@ -30,9 +31,9 @@
   kServing,
   /// Refuses connections.
   kDown,
-  /// Runs the request and breaks the connection.
+  /// Runs the request and closes the connection without a response.
   kBreaking,
-  /// Refuses before it runs.
+  /// Refuses the request without running it.
   kBusy,
 };
 
@@ -41,14 +42,16 @@
   upstream_mode mode = upstream_mode::kServing;
   std::string version = "1";
   uint64_t incarnation = 1;
+  /// Time from the arrival of a request to its response.
   duration service_time = std::chrono::milliseconds(50);
+  /// Announces in its reports that it leaves, and since when.
   bool leaving = false;
   time_point leaving_since{};
   uint64_t runs = 0;
   uint32_t in_flight = 0;
 };
 
-/// One request as its caller sees it.
+/// One request as its caller observes it, and its runs.
 struct world_request {
   std::string name;
   std::string host;
@@ -58,10 +61,11 @@
   bool ended = false;
   time_point ended_at{};
   outcome result = outcome::kUnknown;
+  /// HTTP status; 0 if the connection was lost.
   uint32_t status = 0;
   uint32_t retry_after = 0;
   std::string answer;
-  /// Times that an upstream ran it.
+  /// Number of times that upstreams ran it, and where.
   uint64_t runs = 0;
   std::vector<std::string> upstreams;
 };
@@ -89,15 +93,16 @@
   bool IsFrozen(const std::string& host) const;
   core_status StatusOf(const std::string& host) const;
 
-  // The network. `platform` is a place like a host.
+  // The network. The platform is addressed as `platform`, like a host.
+  /// Drops all messages between the two until `Heal`.
   void Cut(const std::string& a, const std::string& b);
   void Heal(const std::string& a, const std::string& b);
 
   // The platform.
   void SetOutage(bool down) { platform_down_ = down; }
   void SetPlatformDelay(duration delay) { platform_delay_ = delay; }
-  /// The next \p count writes take effect and their answers are lost.
-  void LoseAnswers(int count) { lose_answers_ = count; }
+  /// Drops the replies to the next \p count writes, which take effect.
+  void LoseReplies(int count) { lose_replies_ = count; }
   fake_platform& platform() { return platform_; }
 
   // Upstreams and the configuration.
@@ -123,15 +128,19 @@
   uint64_t RunsOfKey(const std::string& key) const;
 
   // Time.
+  /// Advances the virtual clock by \p time and runs all events until then.
   void RunFor(duration time);
   time_point now() const { return now_; }
-  /// Checks what must hold at the end of a scenario.
+  /// Checks that every request has ended, and with its own response. Call at
+  /// the end of a scenario.
   void CheckEnd() const;
-  /// Is told of every message between hosts.
+  /// Sets a function that is called for every message that a host sends to
+  /// another.
   void SetPeerObserver(std::function<void(const peer_message&)> observer) {
     peer_observer_ = std::move(observer);
   }
-  /// How often a host took a running one that was not frozen for dead.
+  /// Number of times that a host removed a running host, which was not frozen,
+  /// from its members.
   uint64_t false_deaths() const { return false_deaths_; }
   uint64_t platform_calls() const { return platform_.call_count(); }
 
@@ -145,9 +154,10 @@
     bool frozen = false;
     bool stop_ready = false;
     generation_number generation = 0;
-    std::vector<core_event> held;
-    /// The members it last told of.
-    std::set<std::string> known_members;
+    /// Events that arrived while it was frozen.
+    std::vector<core_event> frozen_events;
+    /// The members that its core last reported.
+    std::set<std::string> reported_members;
     std::set<attempt_id> running;
     std::map<attempt_id, std::string> attempts;
   };
@@ -160,19 +170,23 @@
     }
   };
 
+  /// Runs \p action after \p delay of virtual time.
   void After(duration delay, std::function<void()> action);
+  /// Passes an event to the core and executes the actions that it returns.
   void Feed(world_host& host, const core_event& event);
-  /// Delivers to the host as it was started then; a restarted one is another.
+  /// Passes an event to the host after \p delay, unless it has been restarted
+  /// by then and has another incarnation.
   void FeedLater(duration delay,
                  const std::string& host,
                  uint64_t incarnation,
                  core_event event);
+  /// Passes a tick to the host every 20 ms.
   void Tick(const std::string& host, uint64_t incarnation);
   bool IsCut(const std::string& a, const std::string& b) const;
   world_host& Host(const std::string& name);
   const world_host& Host(const std::string& name) const;
 
-  void Carry(world_host& host, const core_action& action);
+  void Execute(world_host& host, const core_action& action);
   void Do(world_host& host, const dispatch_attempt& action);
   void Do(world_host& host, const cancel_attempt& action);
   void Do(world_host& host, const answer_request& action);
@@ -183,6 +197,7 @@
   void Do(world_host& host, const members_changed& action);
   void Do(world_host& host, const stop_ready& action);
 
+  /// Lets a request arrive at its upstream.
   void Arrive(const std::string& host,
               uint64_t incarnation,
               const dispatch_attempt& action);
@@ -196,11 +211,12 @@
                   uint32_t retry_after,
                   const std::string& answer);
   void RecordRun(world_upstream& upstream, const std::string& request);
-  [[noreturn]] void Break(const std::string& what) const;
-  void AnswerWatch(const std::string& host,
-                   uint64_t incarnation,
-                   const platform_call& call,
-                   time_point until);
+  [[noreturn]] void ReportViolation(const std::string& what) const;
+  /// Replies to a watch when the value has changed or at \p until.
+  void ServeWatch(const std::string& host,
+                  uint64_t incarnation,
+                  const platform_call& call,
+                  time_point until);
 
   options options_;
   time_point now_{};
@@ -217,7 +233,7 @@
   fake_platform platform_;
   bool platform_down_ = false;
   duration platform_delay_ = std::chrono::milliseconds(3);
-  int lose_answers_ = 0;
+  int lose_replies_ = 0;
   std::string version_ = "1";
   uint64_t false_deaths_ = 0;
   std::function<void(const peer_message&)> peer_observer_;
--- a/test/random_schedule_test.cc
+++ b/test/random_schedule_test.cc
@@ -1,6 +1,6 @@
-// Random schedules of faults and requests over decision cores, with fixed
-// seeds. The world checks the promises after every event; a failing schedule
-// is printed as a scenario that can be kept.
+// Runs random schedules of faults and requests over decision cores, with fixed
+// seeds. The world checks the guarantees after every event; a failing schedule
+// is printed in the format of a scenario file.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -17,7 +17,7 @@
 constexpr int kHosts = 4;
 constexpr int kKeys = 6;
 
-/// Writes one schedule, a line a step.
+/// Writes one schedule, one line per step.
 class schedule_writer {
  public:
   explicit schedule_writer(uint64_t seed) : random_(seed) {
@@ -39,6 +39,7 @@
 
  private:
   void Add(std::string line) { lines_.push_back(std::move(line)); }
+  /// Returns a random number below \p below.
   int Draw(int below) {
     return static_cast<int>(random_() % static_cast<uint64_t>(below));
   }
@@ -126,7 +127,7 @@
     }
   }
 
-  /// Ends all faults; then the system must serve again.
+  /// Ends all faults and checks that requests are served again.
   void AddRecovery() {
     for (const std::string& cut : cuts_) {
       Add("heal " + cut);
@@ -157,7 +158,7 @@
 
 class random_schedule_test : public testing::TestWithParam<uint64_t> {};
 
-TEST_P(random_schedule_test, KeepsThePromises) {
+TEST_P(random_schedule_test, MaintainsGuarantees) {
   const schedule_writer schedule(GetParam());
   std::string text;
   for (const std::string& line : schedule.lines()) {
--- a/test/scenario_test.cc
+++ b/test/scenario_test.cc
@@ -1,4 +1,4 @@
-// Runs each file in test/scenarios.
+// Runs each scenario file in test/scenarios.
 #include <gtest/gtest.h>
 
 #include <algorithm>
