--- a/test/process/bad_input.sh
+++ b/test/process/bad_input.sh
@@ -1,11 +1,13 @@
 #!/usr/bin/env bash
-# Bad input of every kind gets a clear error, and the daemon serves on.
+# Checks that each kind of invalid request gets a clear error and that the daemon
+# still serves valid requests afterwards.
 source "$(dirname "$0")/harness.sh"
 
 start_cluster 1 "$SOURCE/examples/sneachta.toml" east-1
 address=127.0.0.1:${CALLER_PORTS[0]}
 
-# expect_status STATUS PATTERN PATH [BODY]: the answer's status and text.
+# expect_status STATUS PATTERN PATH [BODY]: checks the status of the response, its
+# text, and that its outcome is not_run.
 expect_status() {
   local wanted=$1 pattern=$2
   shift 2
@@ -41,4 +43,4 @@
   expect_status 401 "not known" /v1/addresses
 
 "$BUILD/utils/fetch" "$address" /v1/chat/completions "$(chat reply)" |
-  grep -q '"choices"' || fail "a good request is not answered any more"
+  grep -q '"choices"' || fail "a valid request is no longer served"
--- a/test/process/configuration.sh
+++ b/test/process/configuration.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Symptom: a configuration is accepted and does not come into force, or reverts.
-# Sequence: a change is submitted; a stale one conflicts; the platform goes
-#   down; a host restarts during the outage.
-# Cause: hosts that need the platform, or that take an older generation.
+# Symptom: an accepted configuration does not take effect, or is reverted.
+# Sequence: a change is submitted; a second one based on the old generation
+#   conflicts; the platform fails; a host restarts during the outage.
+# Cause: hosts that depend on the platform at start, or that adopt an older
+#   generation.
 source "$(dirname "$0")/harness.sh"
 cuminctl=$BUILD/tools/cuminctl
 
@@ -12,13 +13,13 @@
 sed -i 's/max_in_flight = 160/max_in_flight = 161/' "$WORK/theirs.toml"
 sed -i 's/max_in_flight = 160/max_in_flight = 162/' "$WORK/mine.toml"
 "$cuminctl" submit --platform "$PLATFORM" "$WORK/theirs.toml" |
-  grep -q "generation 2" || fail "not accepted"
+  grep -q "generation 2" || fail "the change was not accepted"
 status=0
 "$cuminctl" submit --platform "$PLATFORM" "$WORK/mine.toml" \
   >"$WORK/conflict" || status=$?
-((status == 5)) || fail "no conflict: $(cat "$WORK/conflict")"
+((status == 5)) || fail "no conflict reported: $(cat "$WORK/conflict")"
 grep -q 'workspace "newsagents"' "$WORK/conflict" ||
-  fail "the place is not named: $(cat "$WORK/conflict")"
+  fail "the conflicting entry is not named: $(cat "$WORK/conflict")"
 
 in_force() {
   "$cuminctl" status "127.0.0.1:$1" | grep -q "generation=2"
@@ -31,7 +32,7 @@
 "$cuminctl" report --platform "$PLATFORM" --seconds 0 \
   "${CALLER_PORTS[@]/#/127.0.0.1:}" >"$WORK/report"
 grep -q "^newsagents .*long\|^newsagents .*short" "$WORK/report" ||
-  fail "the report does not know the workspace: $(cat "$WORK/report")"
+  fail "the workspace is missing in the report: $(cat "$WORK/report")"
 
 "$BUILD/utils/fetch" "$PLATFORM" "/control?outage_ms=600000" - >/dev/null
 kill -9 "${DAEMON_PIDS[2]}"
--- a/test/process/graceful_stop.sh
+++ b/test/process/graceful_stop.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Symptom: a graceful stop cuts off an order in flight.
-# Sequence: long streams run through a host while it is told to stop.
+# Symptom: a graceful stop aborts requests in flight.
+# Sequence: a host gets SIGTERM while long streams run through it.
 # Cause: a daemon that closes its connections before its streams have ended.
 source "$(dirname "$0")/harness.sh"
 TIME_TO_LIVE=1
@@ -23,10 +23,10 @@
   "127.0.0.1:${CALLER_PORTS[0]}") $(tail -n 3 "$WORK"/ask-*)"
 kill -TERM "${DAEMON_PIDS[0]}"
 for pid in "${asks[@]}"; do
-  wait "$pid" || fail "a stream was cut off: $(cat "$WORK"/ask-*)"
+  wait "$pid" || fail "a stream was aborted: $(cat "$WORK"/ask-*)"
 done
-wait "${DAEMON_PIDS[0]}" || fail "the daemon did not end well"
+wait "${DAEMON_PIDS[0]}" || fail "the daemon exited with status $?"
 grep -q "graceful=yes" "$WORK/entry-0.log" || fail "the stop was not graceful"
 members=$("$BUILD/tools/cuminctl" addresses --credential example-newsagents \
   "127.0.0.1:${CALLER_PORTS[1]}")
-[[ $members != *'"entry-0"'* ]] || fail "callers are sent to a host that left"
+[[ $members != *'"entry-0"'* ]] || fail "a stopped host is still listed for callers"
--- a/test/process/harness.sh
+++ b/test/process/harness.sh
@@ -1,4 +1,5 @@
-# Sourced by the process tests: a scratch folder, a clean end, and helpers.
+# Sourced by the process tests: creates a scratch folder, stops all processes and
+# removes the folder on exit, and defines helpers.
 set -euo pipefail
 SOURCE=$(cd "$(dirname "${BASH_SOURCE[0]}")/../.." && pwd)
 BUILD=${BUILD:?}
@@ -23,8 +24,8 @@
   exit 1
 }
 
-# start_cluster COUNT DOCUMENT DOMAIN...: a platform, the document's upstreams
-# and COUNT daemons, all ready.
+# start_cluster COUNT DOCUMENT DOMAIN...: starts a platform, the upstreams of the
+# configuration document and COUNT daemons, and waits until all are ready.
 start_cluster() {
   local count=$1 document=$2 port
   shift 2
@@ -40,13 +41,13 @@
   done
 }
 
-# owned_shards PORT: how many shards the daemon owns.
+# owned_shards PORT: prints the number of shards that the daemon owns.
 owned_shards() {
   "$BUILD/tools/cuminctl" status "127.0.0.1:$1" | sed -n 's/.*shards=//p' |
     head -1
 }
 
-# all_shards_owned PORT...: whether the daemons own all shards together.
+# all_shards_owned PORT...: whether the daemons together own all 16 shards.
 all_shards_owned() {
   local port sum=0
   for port in "$@"; do
@@ -55,7 +56,8 @@
   ((sum == 16))
 }
 
-# order PORT KEY [BODY]: places an order that may not be repeated.
+# order PORT KEY [BODY]: sends a request that must run at most once, with KEY as
+# its idempotency key.
 order() {
   FETCH_HEADERS="Authorization: Bearer ${CREDENTIAL:?}
 Content-Type: application/json
@@ -63,7 +65,7 @@
     "/services/${SERVICE:?}/place" "${3:-"{\"crates\":40}"}"
 }
 
-# doubled_runs: keys that the services ran more than once.
+# doubled_runs: prints the number of keys that the services ran more than once.
 doubled_runs() {
   local address sum=0
   for address in "${UPSTREAM_ADDRESSES[@]}"; do
--- a/test/process/once_over_hosts.sh
+++ b/test/process/once_over_hosts.sh
@@ -1,10 +1,9 @@
 #!/usr/bin/env bash
-# Symptom: a second delivery of tubs.
-# Sequence: an order is placed and repeated through every host; the owner of
-#   its shard is killed and the order repeated; a host is frozen with SIGSTOP
-#   past every timeout, orders go on, and it is thawed; the platform is down
-#   for a while.
-# Cause: any host that would start a key without the journal.
+# Symptom: a request that must run at most once runs twice.
+# Sequence: a request is sent and repeated through every host; a host is killed and
+#   the request repeated; a host is paused with SIGSTOP past every time-out while
+#   requests go to the others, and resumed; the platform is down for 3 s.
+# Cause: a host that starts a key without writing the shard journal.
 source "$(dirname "$0")/harness.sh"
 CREDENTIAL=example-drivers
 SERVICE=driver-orders
@@ -15,10 +14,11 @@
 
 first=$(order "${CALLER_PORTS[0]}" "$key")
 for port in "${CALLER_PORTS[@]}"; do
-  [[ $(order "$port" "$key") == "$first" ]] || fail "a repeat differs"
+  [[ $(order "$port" "$key") == "$first" ]] ||
+    fail "a repeated request got another response"
 done
 order "${CALLER_PORTS[1]}" "$key" '{"crates":41}' >/dev/null 2>&1 &&
-  fail "another body went through under the same key"
+  fail "a request with another body was accepted under the same key"
 
 kill -9 "${DAEMON_PIDS[0]}"
 wait_for 20 all_shards_owned "${CALLER_PORTS[@]:1}"
@@ -39,7 +39,7 @@
 "$BUILD/utils/fetch" "$PLATFORM" "/control?outage_ms=3000" - >/dev/null
 late=$(date +%s)-outage
 order "${CALLER_PORTS[2]}" "$late" >/dev/null 2>"$WORK/refused" &&
-  fail "an order went through without a journal"
+  fail "a request ran while the journal was unavailable"
 grep -q "status 503" "$WORK/refused" || fail "$(cat "$WORK/refused")"
 wait_for 15 order "${CALLER_PORTS[2]}" "$late"
 
--- a/test/process/platform.sh
+++ b/test/process/platform.sh
@@ -1,45 +1,47 @@
-# Sourced by the process tests on the users' platform: a store, upstreams and
-# daemons in the form that runs there.
+# Sourced by the process tests of daemons with --platform: starts a store,
+# upstreams and daemons, and defines helpers.
 source "$(dirname "${BASH_SOURCE[0]}")/harness.sh"
 
-# put KEY VALUE: writes an item to the store.
+# put KEY VALUE: writes an entry to the store.
 put() {
   "$BUILD/utils/fetch" "$STORE" /kv-txn "{\"precondition\":[],\"puts\":[{
     \"key\":\"$1\",\"value\":\"$(base64 -w0 <<<"$2")\"}],\"remove\":[]}" \
     >/dev/null
 }
 
-# remove_item KEY
+# remove_item KEY: removes an entry from the store.
 remove_item() {
   "$BUILD/utils/fetch" "$STORE" /kv-txn \
     "{\"precondition\":[],\"puts\":[],\"remove\":[\"$1\"]}" >/dev/null
 }
 
-# start_store: one that also listens at SECOND, and fails there by itself.
+# start_store: starts a store that also listens at SECOND, where faults can be set
+# separately.
 start_store() {
   start_stand_in store store_stand_in --second 127.0.0.1:0
   STORE=$ADDRESS
   SECOND=$(sed -n 's/^also listening on //p' "$WORK/store.log")
 }
 
-# store_fault MODE [NAME]: refuse, silent, lost or none; only for those that
-# call the store by that name where one is given.
+# store_fault MODE [NAME]: sets the fault mode refuse, silent, lost or none. With
+# NAME, only for calls whose Host is that name.
 store_fault() {
   "$BUILD/utils/fetch" "$STORE" "/fault?mode=$1${2:+&at=$2}" - >/dev/null
 }
 
-# has_lost_store INDEX, has_store INDEX: by what the daemon noted last.
+# has_lost_store INDEX, has_store INDEX: whether the daemon has lost the store, by
+# the last such event in its log.
 has_lost_store() {
   [[ $(grep -oE '"event":"dependency_(lost|regained)"' "$WORK/entry-$1.log" |
     tail -1) == *lost* ]]
 }
 has_store() { ! has_lost_store "$1"; }
 
-# millis: of a clock that never steps.
+# millis: prints the milliseconds of a monotonic clock.
 millis() { awk '{ print int($1 * 1000) }' /proc/uptime; }
 
-# put_configuration VERSION [EXTRA_ROUTE]: W2_FIELDS are further fields of the
-# workspace w2, with a comma before each.
+# put_configuration VERSION [EXTRA_ROUTE]: writes the configuration. W2_FIELDS are
+# further fields of the workspace w2, each preceded by a comma.
 put_configuration() {
   put op/config "{\"version\":$1,\"routes\":[
     {\"name\":\"stream\",\"host\":\"h\",\"path-prefix\":\"/stream/\",
@@ -63,14 +65,16 @@
      {\"name\":\"w2\",\"api-keys\":[\"key2\"]${W2_FIELDS:-}}]}"
 }
 
-# start_replica ID SERVICE [MODEL [VERSION]]: starts and lists it.
+# start_replica ID SERVICE [MODEL [VERSION]]: starts an upstream and registers it
+# in the store.
 start_replica() {
   start_stand_in "$1" replica_stand_in --id "$1" --model "${3:-}" \
     --version "${4:-1}"
   list_replica "$1" "$2" "$ADDRESS" ready "${3:-}" "${4:-1}"
 }
 
-# list_replica ID SERVICE ADDRESS STATE [MODEL VERSION]
+# list_replica ID SERVICE ADDRESS STATE [MODEL VERSION]: writes the store entry of
+# an upstream.
 list_replica() {
   local models="[]"
   [[ -n ${5:-} ]] && models="[{\"name\":\"$5\",\"version\":$6}]"
@@ -79,8 +83,9 @@
     \"cold-left-ms\":0,\"models\":$models}"
 }
 
-# start_platform_daemon INDEX: on the ports from PORTS[5 * INDEX] on. BOUNDS are
-# further lines of its bounds, PROVIDER is the store's address if not STORE.
+# start_platform_daemon INDEX: starts a daemon on the ports PORTS[5 * INDEX] to
+# PORTS[5 * INDEX + 4]. BOUNDS are further lines of its [bounds], PROVIDER is the
+# address of the store if not STORE.
 start_platform_daemon() {
   local i=$1 seeds="${SEEDS:-}"
   cat >"$WORK/entry-$i.toml" <<SETTINGS
@@ -114,8 +119,9 @@
   "$BUILD/utils/fetch" "127.0.0.1:${PORTS[5 * $1 + 1]}" /ready
 }
 
-# start_platform_daemons COUNT [APART]: until all are ready. The daemon APART has
-# the store's second address, the others the first.
+# start_platform_daemons COUNT [APART]: starts the daemons and waits until all are
+# ready. The daemon APART uses the second address of the store, the others the
+# first.
 start_platform_daemons() {
   local i PROVIDER
   make_ports $((5 * $1))
@@ -132,8 +138,8 @@
   done
 }
 
-# start_platform COUNT: a store, two engines, two services and COUNT daemons.
-# EXTRA_ROUTES are further routes of the first configuration.
+# start_platform COUNT: starts a store, two engines, two services and COUNT
+# daemons. EXTRA_ROUTES are further routes of the first configuration.
 start_platform() {
   start_stand_in store store_stand_in
   STORE=$ADDRESS
@@ -145,23 +151,25 @@
   start_platform_daemons "$1"
 }
 
-# by_use NAME...: the upstreams, the one that has run fewest requests first.
-by_use() {
+# by_run_count NAME...: prints the upstreams in increasing order of the number of
+# requests that they have run.
+by_run_count() {
   local name
   for name in "$@"; do
     echo "$(grep -c "^run" "$WORK/$name.log") $name"
   done | sort -n | cut -d' ' -f2
 }
 
-# expect_none WHAT UPSTREAM: the upstream has told of no request so.
-expect_none() {
+# expect_no_log_line WHAT UPSTREAM: checks that no line in the log of the upstream
+# begins with WHAT.
+expect_no_log_line() {
   local count
   count=$(grep -c "^$1" "$WORK/$2.log" || true)
   ((count == 0)) || fail "$2 got $count requests $1"
 }
 
-# ask INDEX ID PATH [KEY]: sends a POST as a caller; leaves the body in
-# $WORK/out and the status in $WORK/err.
+# ask INDEX ID PATH [KEY]: sends a POST to the daemon as a caller; leaves the body
+# in $WORK/out and the status in $WORK/err.
 ask() {
   FETCH_HEADERS="Host: h
 X-Attempt-Id: $2
@@ -173,8 +181,8 @@
     "$BUILD/utils/fetch" "$(front "$1")" "$3" body >"$WORK/out" 2>"$WORK/err"
 }
 
-# earn_retries INDEX PATH: has requests served, so that a daemon that has just
-# started may repeat some to the same service.
+# earn_retries INDEX PATH: sends 30 requests that are served, so that the retry
+# budget of a daemon that has just started allows retries to the same service.
 earn_retries() {
   local i
   for ((i = 0; i < 30; ++i)); do
@@ -182,7 +190,8 @@
   done
 }
 
-# expect_status STATUS INDEX ID PATH [KEY]
+# expect_status STATUS INDEX ID PATH [KEY]: sends a POST and checks the status of
+# the response.
 expect_status() {
   local wanted=$1
   shift
@@ -191,5 +200,5 @@
     fail "$* gave $(cat "$WORK/err"), not $wanted"
 }
 
-# runs ID: how often upstreams ran the request.
+# runs ID: prints how often upstreams ran the request.
 runs() { cat "$WORK"/e?.log "$WORK"/s?.log | grep -c "^run $1 " || true; }
--- a/test/process/platform_departed.sh
+++ b/test/process/platform_departed.sh
@@ -1,7 +1,9 @@
 #!/usr/bin/env bash
-# Guards against requests to upstreams that have left, from daemons to which the store says so.
+# Guards against requests to upstreams whose entries were removed, from daemons that
+# can read this in the store.
 source "$(dirname "$0")/platform.sh"
-# The last daemon has the store's second address, which fails by itself.
+# The last daemon uses the second address of the store, where faults are set
+# separately.
 COUNT=3
 start_store
 put_configuration 1
@@ -12,7 +14,7 @@
 done
 start_platform_daemons $COUNT $((COUNT - 1))
 
-# ask_all NAME: three requests of each daemon; each has to be answered.
+# ask_all NAME: sends three requests to each daemon; each must be served.
 ask_all() {
   local i j
   for ((i = 0; i < COUNT; ++i)); do
@@ -22,10 +24,10 @@
   done
 }
 
-# One daemon loses the store for a moment and regains it, again and again, while
-# an upstream is removed. Renewed entries end the watch that is under way.
+# One daemon loses and regains the store eight times, while the entry of an upstream
+# is removed. Renewing another entry ends the watch in progress.
 ask_all first
-mapfile -t names < <(by_use s1 s2 s3 s4)
+mapfile -t names < <(by_run_count s1 s2 s3 s4)
 renewed=${names[0]} first=${names[3]}
 for ((round = 0; round < 8; ++round)); do
   store_fault refuse "$SECOND"
@@ -45,9 +47,10 @@
 while (($(millis) < until)); do
   ask_all late-last
 done
-expect_none "run late" "$first"
+expect_no_log_line "run late" "$first"
 
-# lose_store NAME: away for all, for longer than entries last.
+# lose_store NAME: makes the store unresponsive for all daemons, for longer than the
+# lifetime of its entries.
 lose_store() {
   local i until
   store_fault silent
@@ -60,7 +63,8 @@
     ask_all "$1"
   done
 }
-# regain_store INDEX...: until these daemons have it.
+# regain_store INDEX...: ends all faults and waits until these daemons have the
+# store.
 regain_store() {
   local i
   store_fault none
@@ -70,9 +74,10 @@
   done
 }
 
-# What is removed after the store has answered all again has not lapsed.
+# An entry that is removed after all daemons have regained the store does not count
+# as expired during the outage.
 lose_store away
-mapfile -t names < <(by_use "${names[@]:0:3}")
+mapfile -t names < <(by_run_count "${names[@]:0:3}")
 second=${names[2]}
 regain_store 0 1 2
 remove_item "servers/$second"
@@ -82,10 +87,11 @@
   (($(millis) > removed + 2000)) && phase=after
   ask_all "$phase"
 done
-expect_none "run after" "$second"
+expect_no_log_line "run after" "$second"
 
-# What lapses while the store is away is used until its upstreams are back. The
-# store obeys its operator meanwhile.
+# Upstreams whose entries expire during a store outage are used until they have
+# registered again. Removals through the Host name `operator`, which stays free of
+# the fault, stand for the expiry.
 lose_store away-again
 store_fault none operator
 for name in "${names[@]:0:2}"; do
@@ -102,4 +108,4 @@
   ask_all returned
 done
 grep -q '"event":"upstreams_kept"' "$WORK/entry-0.log" ||
-  fail "no entry was kept"
+  fail "no entry was retained"
--- a/test/process/platform_explain.sh
+++ b/test/process/platform_explain.sh
@@ -1,32 +1,34 @@
 #!/usr/bin/env bash
-# Three kinds of failed request, each from its id to its cause by the way that
-# docs/OPERATIONS.md shows.
+# Checks for three kinds of failed requests that `cuminctl explain` leads from the
+# id to the cause, as in docs/OPERATIONS.md.
 source "$(dirname "$0")/platform.sh"
 start_platform 2
 
-# explained ID PATTERN...: the story of the request contains each pattern.
+# explained ID PATTERN...: checks that the explanation of the request contains each
+# pattern.
 explained() {
   local id=$1 pattern
   shift
   wait_for 5 eval 'grep -hq "request_ended.*\"$id\"" "$WORK"/entry-?.log'
-  "$BUILD/tools/cuminctl" explain "$id" "$WORK"/entry-?.log >"$WORK/story"
+  "$BUILD/tools/cuminctl" explain "$id" "$WORK"/entry-?.log >"$WORK/explanation"
   for pattern in "$@"; do
-    grep -q "$pattern" "$WORK/story" ||
-      fail "$id: no $pattern in $(cat "$WORK/story")"
+    grep -q "$pattern" "$WORK/explanation" ||
+      fail "$id: no $pattern in $(cat "$WORK/explanation")"
   done
 }
 
-# Refused: every upstream that was asked said that it is full.
+# Refused: each upstream that was tried had no capacity.
 ask 0 refused-1 /once/refuse/x || true
 explained refused-1 "attempt_failed.*answer=refused" \
   "request_ended.*outcome=not_run.*status=503"
 
-# Cut midway: the engine broke off, and the route allows no continuation.
+# Truncated: the engine closed the connection, and the route does not allow to
+# resume the stream.
 ask 0 cut-1 /stream/cut/x || true
 explained cut-1 "attempt_failed.*answer=broken" \
   "request_ended.*outcome=unknown.*reason=answer_broken"
 
-# Unknown after an upstream's death: it had taken the order.
+# Unknown: the upstream was killed after it had accepted the request.
 DEADLINE_MS=2000 ask 0 dead-1 /once/hang/x &
 asking=$!
 wait_for 5 grep -hq "^run dead-1" "$WORK"/s?.log
--- a/test/process/platform_followers.sh
+++ b/test/process/platform_followers.sh
@@ -1,7 +1,9 @@
 #!/usr/bin/env bash
-# A daemon that reaches the store must not wait for followers that have lost it.
+# Guards against stale configuration in a daemon that reaches the store but waits for
+# followers that have lost it.
 source "$(dirname "$0")/platform.sh"
-# One daemon has the store's first address, the others the second.
+# The daemon SPARED uses the first address of the store, which never fails; the
+# others use the second.
 SPARED=5 COUNT=14
 start_store
 put_configuration 1
@@ -18,25 +20,26 @@
   wait_for 20 is_platform_ready "$i"
 done
 
-# change VERSION PATH: adds a route for it.
+# change VERSION PATH: writes a configuration that adds a route for PATH.
 change() {
   put_configuration "$1" "{\"name\":\"r$1\",\"host\":\"h\",
     \"path-prefix\":\"$2\",\"kind\":\"stream\",\"timeout-ms\":5000,
     \"goal-ms\":800,\"priority\":0,\"backend\":\"engines\",\"attempts\":1}"
 }
-# serves INDEX PATH
+# serves INDEX PATH: whether the daemon serves a request to PATH.
 serves() {
   ask "$1" "ask-$1-$RANDOM" "$2"
 }
 
-# Followers have settled once a change has reached all from a few.
+# The set of followers is stable once a change has reached all daemons and only two
+# still follow the store.
 change 2 /calm/
 for ((i = 0; i < COUNT; ++i)); do
   wait_for 10 serves "$i" /calm/x
 done
 wait_for 10 grep -q '"event":"store_following","follows":false' \
   "$WORK/entry-$SPARED.log"
-# followers: daemons that never ceased to follow the store.
+# followers: prints the daemons that have followed the store since their start.
 followers() {
   local i
   for ((i = 0; i < COUNT; ++i)); do
@@ -54,9 +57,10 @@
   done
   change $((++version)) "/route-$mode/"
   wait_for 4 serves $SPARED "/route-$mode/x" ||
-    fail "the store serves entry-$SPARED, which does not know version $version"
+    fail "entry-$SPARED reaches the store but does not have version $version"
   for ((i = 0; i < COUNT; ++i)); do
-    wait_for 4 serves "$i" "/route-$mode/x" || fail "entry-$i did not learn it"
+    wait_for 4 serves "$i" "/route-$mode/x" ||
+      fail "entry-$i does not have version $version"
   done
   store_fault none "$SECOND"
   for i in "${FOLLOWERS[@]}"; do
--- a/test/process/platform_notices.sh
+++ b/test/process/platform_notices.sh
@@ -1,17 +1,18 @@
 #!/usr/bin/env bash
-# Guards against requests to upstreams that asked for rest or said that they leave.
+# Guards against requests to upstreams that asked for backoff or announced that they
+# leave.
 source "$(dirname "$0")/platform.sh"
 start_platform 1
 start_replica e3 engines m
 start_replica s3 orders
 
-# control UPSTREAM WHAT
+# control UPSTREAM WHAT: changes the behaviour of the upstream by its /control/ path.
 control() {
   local address
   address=$(sed -n 's/^listening on //p' "$WORK/$1.log")
   "$BUILD/utils/fetch" "$address" "/control/$2" >/dev/null
 }
-# ask_for SECONDS NAME PATH: without a pause; each request has to be answered.
+# ask_for SECONDS NAME PATH: sends requests without a pause; each must be served.
 ask_for() {
   local until=$((SECONDS + $1)) i
   for ((i = 0; SECONDS < until; ++i)); do
@@ -19,28 +20,29 @@
   done
 }
 
-# One of three asks for rest: the others serve all that comes.
+# One upstream of three asks for backoff: the others serve all requests.
 ask_for 2 before /stream/x
 ask_for 2 before /repeat/x
-engine=$(by_use e1 e2 e3 | tail -1)
-service=$(by_use s1 s2 s3 | tail -1)
+engine=$(by_run_count e1 e2 e3 | tail -1)
+service=$(by_run_count s1 s2 s3 | tail -1)
 control "$engine" rest/3
 control "$service" rest/2
 ask_for 4 rest /stream/x
 ask_for 3 rest /repeat/x
 grep -q "\"event\":\"rest_asked\",\"upstream\":\"$engine\".*\"rest_ms\":3000" \
-  "$WORK/entry-0.log" || fail "no rest of $engine in the log"
-expect_none in_rest "$engine"
-expect_none in_rest "$service"
-# The rest is over, and it serves again.
+  "$WORK/entry-0.log" || fail "no backoff of $engine in the log"
+expect_no_log_line in_rest "$engine"
+expect_no_log_line in_rest "$service"
+# After the backoff it serves again.
 control "$engine" rest/none
 control "$service" rest/none
 before=$(grep -c "^run" "$WORK/$engine.log")
 ask_for 6 after /stream/x
 (($(grep -c "^run" "$WORK/$engine.log") > before)) ||
-  fail "$engine got nothing after its rest"
+  fail "$engine got no requests after its backoff"
 
-# All ask for it: a request is refused at once, and told when the first is back.
+# All ask for backoff: requests are refused at once, with the time until the first
+# backoff ends.
 for index in 1 2 3; do
   control "s$index" rest/4
 done
@@ -52,20 +54,20 @@
   read -rt 0.1 <> <(:) || true
 done
 for index in 1 2 3; do
-  expect_none in_rest "s$index"
+  expect_no_log_line in_rest "s$index"
 done
-# The daemon writes its log a little later than it answers.
+# The daemon writes its log slightly after the response.
 wait_for 5 grep -q '"request_ended","id":"all-19"' "$WORK/entry-0.log" ||
   fail "no end of all-19 in the log"
-"$BUILD/tools/cuminctl" explain all-19 "$WORK/entry-0.log" >"$WORK/story"
+"$BUILD/tools/cuminctl" explain all-19 "$WORK/entry-0.log" >"$WORK/explanation"
 grep -q "request_ended.*reason=upstreams asked for rest.*retry_after_ms=[1-4]" \
-  "$WORK/story" || fail "no cause in $(cat "$WORK/story")"
+  "$WORK/explanation" || fail "no cause in $(cat "$WORK/explanation")"
 
-# One leaves, and the store lists it as ready.
+# An engine announces that it leaves while its store entry is still ready.
 ask_for 1 before /resume/x
-engine=$(by_use e1 e2 e3 | tail -1)
+engine=$(by_run_count e1 e2 e3 | tail -1)
 control "$engine" leaving/1
 ask_for 3 leaving /resume/x
-expect_none while_leaving "$engine"
+expect_no_log_line while_leaving "$engine"
 grep -q "\"event\":\"leaving_said\",\"upstream\":\"$engine\"" \
-  "$WORK/entry-0.log" || fail "no word of $engine in the log"
+  "$WORK/entry-0.log" || fail "no announcement of $engine in the log"
--- a/test/process/platform_quota.sh
+++ b/test/process/platform_quota.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# A workspace's quota over two daemons, and from a refused request's id to
-# whether it was the quota or the load, as docs/OPERATIONS.md shows.
+# Checks the quota of a workspace over two daemons, and that `cuminctl explain` shows
+# whether the quota or the load refused a request, as in docs/OPERATIONS.md.
 source "$(dirname "$0")/platform.sh"
 start_platform 2
 
-# knows_configuration VERSION: both daemons have it in force.
+# knows_configuration VERSION: whether both daemons use this configuration.
 knows_configuration() {
   local i
   for i in 0 1; do
@@ -12,14 +12,14 @@
       "$WORK/entry-$i.log" || return 1
   done
 }
-# has_metric INDEX PATTERN
+# has_metric INDEX PATTERN: whether the metrics of the daemon have such a line.
 has_metric() {
   "$BUILD/utils/fetch" "127.0.0.1:${PORTS[5 * $1 + 4]}" /metrics >"$WORK/page"
   grep -q "$2" "$WORK/page"
 }
 
-# One token a second: a request of 110 uses two minutes' worth, and no machine is
-# so slow that the next one fits.
+# At 1 token/s and a burst of 100, a request of 110 tokens uses nearly two minutes of
+# the quota, so that the next one is over it even on a slow machine.
 W2_FIELDS=',"unit":"tokens","rate-per-s":1,"burst":100,"uncached-tokens":200'
 put_configuration 2
 wait_for 5 knows_configuration 2
@@ -27,30 +27,30 @@
 for index in 0 1 0 1; do
   expect_status 429 "$index" "q2-$index" /stream/x key2
 done
-[[ $(runs q2-0) == 0 && $(runs q2-1) == 0 ]] || fail "over the quota, and ran"
-# Other workspaces pay nothing for it.
+[[ $(runs q2-0) == 0 && $(runs q2-1) == 0 ]] || fail "a request over the quota ran"
+# The quota does not affect other workspaces.
 ask 0 q3 /stream/x
 [[ $(runs q3) == 1 ]] || fail "q3 ran $(runs q3) times"
 
-# From the id to the cause: the quota, not the load.
+# `cuminctl explain` shows the quota as the cause.
 wait_for 5 grep -hq "request_ended.*q2-1" "$WORK/entry-1.log"
-"$BUILD/tools/cuminctl" explain q2-1 "$WORK"/entry-?.log >"$WORK/story"
-grep -q "quota_refused.*left=-.* rate=1 .*retry_after_ms=60000" "$WORK/story" ||
-  fail "no cause in $(cat "$WORK/story")"
-grep -q "request_ended.*reason=over_quota .*status=429" "$WORK/story" ||
-  fail "no end in $(cat "$WORK/story")"
+"$BUILD/tools/cuminctl" explain q2-1 "$WORK"/entry-?.log >"$WORK/explanation"
+grep -q "quota_refused.*left=-.* rate=1 .*retry_after_ms=60000" "$WORK/explanation" ||
+  fail "no cause in $(cat "$WORK/explanation")"
+grep -q "request_ended.*reason=over_quota .*status=429" "$WORK/explanation" ||
+  fail "no end in $(cat "$WORK/explanation")"
 has_metric 1 'cuminswitch_quota_refused_total{workspace="w2"} 2' ||
   fail "refused: $(grep quota "$WORK/page")"
 has_metric 0 'cuminswitch_quota_admitted_total{workspace="w2"} 1' ||
   fail "admitted: $(grep quota "$WORK/page")"
 
-# A limit that cannot be read leaves the one in force.
+# A configuration with an invalid quota leaves the previous one in force.
 W2_FIELDS=',"unit":"tokens","rate-per-s":-5'
 put_configuration 3
 wait_for 5 grep -q "item_malformed.*rate-per-s" "$WORK/entry-0.log"
 expect_status 429 0 q4 /stream/x key2
 
-# And without a limit all is taken.
+# Without a quota all requests are served.
 W2_FIELDS=""
 put_configuration 4
 wait_for 5 knows_configuration 4
--- a/test/process/platform_retry_budget.sh
+++ b/test/process/platform_retry_budget.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Restarted daemons must not spend the fleet's retries again within one window.
+# Guards against restarted daemons that spend the retry budget of the fleet again
+# within one window of 10 s.
 source "$(dirname "$0")/platform.sh"
 SLACK=16
 BOUNDS="retry-ratio = 0
@@ -8,17 +9,18 @@
   "kind":"idempotent","timeout-ms":600,"backend":"orders","attempts":2}'
 start_platform 2
 
-# retries: the times of all daemons' retries, in milliseconds.
+# retries: prints the times of the retries of all daemons, in milliseconds.
 retries() {
   sed -n '/"event":"attempt_placed"/{/"earlier_attempts":0/!{
     s/.*"time_ms":\([0-9]*\).*/\1/p}}' "$WORK"/entry-?.log | sort -n
 }
-# most_in_a_window: retries in the worst 10 s.
+# most_in_a_window: prints the largest number of retries in any 10 s.
 most_in_a_window() {
   retries | awk '{ at[NR] = $1; while ($1 - at[first + 1] >= 10000) ++first
     if (NR - first > most) most = NR - first } END { print most + 0 }'
 }
-# refuse_many NAME: both daemons, more requests than retries are left for.
+# refuse_many NAME: sends each of the two daemons SLACK requests that upstreams
+# refuse, which is more than the retry budget allows to retry.
 refuse_many() {
   local i
   for ((i = 0; i < 2 * SLACK; ++i)); do
--- a/test/process/platform_slow_callers.sh
+++ b/test/process/platform_slow_callers.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Guards against the death of a daemon whose callers send slowly: hundreds of
-# them hold large bodies half sent, and others notice nothing of it.
+# Guards against a daemon that runs out of memory when hundreds of slow callers have
+# sent large request bodies in part. Other callers must still be served.
 MEMORY_MB=88
 source "$(dirname "$0")/platform.sh"
 start_platform 1
@@ -19,7 +19,7 @@
     ask 0 "sound-$i" /repeat/x || fail "sound-$i was not served: $(cat "$WORK/err")"
   fi
 done
-kill -0 "${DAEMON_PIDS[0]}" || fail "the daemon has died"
+kill -0 "${DAEMON_PIDS[0]}" || fail "the daemon has exited"
 peak=$(sed -n 's/^VmHWM:[^0-9]*\([0-9]*\).*/\1/p' "/proc/${DAEMON_PIDS[0]}/status")
 echo "$CALLERS slow callers, $((CALLERS * PART_SIZE / 1024)) KB sent: peak $peak KB"
 ((peak < MEMORY_MB * 1024)) || fail "peak memory of $peak KB"
@@ -27,7 +27,7 @@
 refused=$(sed -n 's/^cuminswitch_refused_for_memory_total //p' "$WORK/metrics")
 ((refused > 0)) || fail "nothing was refused"
 wait_for 5 grep -q '"event":"requests_refused_for_memory"' "$WORK/entry-0.log" ||
-  fail "no word of it in the log"
+  fail "no requests_refused_for_memory event in the log"
 for fd in "${fds[@]}"; do
   exec {fd}>&-
 done
--- a/test/process/platform_turned_away.sh
+++ b/test/process/platform_turned_away.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Guards against requests to a draining upstream from a daemon that the store turns away.
+# Guards against requests to a draining upstream from a daemon that cannot reach the
+# store and must get the change from its peers.
 source "$(dirname "$0")/platform.sh"
 COUNT=3
 start_store
@@ -11,15 +12,15 @@
 done
 start_platform_daemons $COUNT 0
 
-# turned_away ROUND MODE PEER STOP_MS: while the store turns the first daemon away
-# an upstream drains, and STOP_MS later a peer that may be asked stands still.
-turned_away() {
+# check_draining ROUND MODE PEER STOP_MS: an upstream starts draining while the first
+# daemon cannot reach the store, and STOP_MS later a peer that it may ask is paused.
+check_draining() {
   local name=s$((1 + $1 % 2)) drained phase stopped=0
   store_fault "$2" "$SECOND"
   if [[ $2 == refuse ]]; then
     wait_for 5 has_lost_store 0
   else
-    # Ends the watch from before the fault.
+    # A change ends the watch that began before the fault.
     list_replica s3 orders "${addresses[s3]}" ready
     read -rt 0.13 <> <(:) || true
   fi
@@ -35,7 +36,7 @@
     ask 0 "$phase-$1-$RANDOM" /repeat/x || fail "$phase: $(cat "$WORK/err")"
   done
   kill -CONT "$stopped"
-  expect_none "run late-$1" "$name"
+  expect_no_log_line "run late-$1" "$name"
   store_fault none "$SECOND"
   wait_for 5 has_store 0
   list_replica "$name" orders "${addresses[$name]}" ready
@@ -44,6 +45,6 @@
 }
 round=0
 for peer in 1 2; do
-  turned_away $((round++)) refuse "$peer" 1200
-  turned_away $((round++)) silent "$peer" 1050
+  check_draining $((round++)) refuse "$peer" 1200
+  check_draining $((round++)) silent "$peer" 1050
 done
--- a/test/process/platform_weights.sh
+++ b/test/process/platform_weights.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# New weights: one leader orders each engine once, also after the leader died,
-# and requests name the version that they were placed for.
+# Checks that one leader at a time commands each engine to load new weights, once per
+# version, also after the leader was killed.
 source "$(dirname "$0")/platform.sh"
 start_platform 2
 wait_for 10 eval 'grep -hq lead_taken "$WORK"/entry-?.log'
 
-# follow ID: lists the engine with the version that it has by now, as a real
-# one does by itself.
+# follow ID: writes the store entry of the engine with the version that it has
+# loaded, as real engines do by themselves.
 follow() {
   local version
   version=$(sed -n 's/^order .* //p' "$WORK/$1.log" | tail -1)
@@ -20,10 +20,11 @@
 follow e1
 follow e2
 [[ $(cat "$WORK"/e?.log | grep "^order" | cut -d" " -f2,3 | sort -u | wc -l) \
-  == 1 ]] || fail "two leaders, or two fences"
+  == 1 ]] || fail "commands of two leaders or with two fencing tokens"
 wait_for 10 eval 'ask 0 w$RANDOM /stream/x'
 
-# The leader dies; the other one leads, waits, and orders under a new fence.
+# After the leader is killed, the other daemon takes the leadership, waits for the
+# handover gap, and sends commands with a new fencing token.
 leader=$(grep -l lead_taken "$WORK"/entry-?.log | sed 's/.*entry-\(.\).log/\1/')
 kill -9 "${DAEMON_PIDS[$leader]}"
 put op/version/m '{"model":"m","version":3}'
@@ -31,5 +32,6 @@
 follow e1
 follow e2
 fences=$(cat "$WORK"/e1.log | sed -n 's/^order [^ ]* \([0-9]*\) .*/\1/p')
-[[ $(sort -n <<<"$fences") == "$fences" ]] || fail "fences went back: $fences"
+[[ $(sort -n <<<"$fences") == "$fences" ]] ||
+  fail "fencing tokens decreased: $fences"
 wait_for 10 eval 'ask $((1 - leader)) w$RANDOM /stream/x'
--- a/test/process/start_errors.sh
+++ b/test/process/start_errors.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# What cannot start says why, with its exit status, and changes nothing.
+# Checks that programs which cannot start report the reason and the matching exit
+# status.
 source "$(dirname "$0")/harness.sh"
 
-# expect_exit STATUS PATTERN COMMAND...
+# expect_exit STATUS PATTERN COMMAND...: checks the exit status and the output.
 expect_exit() {
   local wanted=$1 pattern=$2 status=0
   shift 2
@@ -38,7 +39,7 @@
 expect_exit 0 "no findings" "$cuminctl" check "$SOURCE/examples/slovak.toml"
 expect_exit 0 "no findings" "$cuminctl" check "$SOURCE/examples/sneachta.toml"
 
-# A daemon without platform and peers starts, lives, and is not ready.
+# A daemon without platform and peers runs, is healthy, and is not ready.
 start_daemon 0
 healthy() { "$BUILD/utils/fetch" "127.0.0.1:${PORTS[1]}" /healthz; }
 wait_for 5 healthy
