--- a/test/Scenario/script.cc
+++ b/test/Scenario/script.cc
@@ -222,7 +222,7 @@
       return;
     }
   }
-  throw script_error("no running host is the " + line[2] + " of shard 0");
+  throw script_error("no running host is the " + line[2]);
 }
 
 void script::Substitute(words& line) const {
--- a/test/process/platform_limit.sh
+++ b/test/process/platform_limit.sh
@@ -48,7 +48,7 @@
 done
 ask_many 10 limited
 grep -q "^over_limit" "$WORK/$preferred.log" &&
-  fail "more than it takes: $(grep "^over_limit" "$WORK/$preferred.log" | tail -1)"
+  fail "more requests than the limit: $(grep "^over_limit" "$WORK/$preferred.log" | tail -1)"
 # `cuminctl explain` shows the limit of the upstream for the id of a request that
 # was not sent there.
 id=$(grep -ho '"event":"limit_turned_away","id":"[^"]*"' "$WORK"/entry-?.log |
@@ -73,7 +73,7 @@
 before=$(runs_at $preferred)
 ask_many 6 moved
 grep -q "^over_limit" "$WORK/$other.log" &&
-  fail "more than it takes: $(grep "^over_limit" "$WORK/$other.log" | tail -1)"
+  fail "more requests than the limit: $(grep "^over_limit" "$WORK/$other.log" | tail -1)"
 (($(runs_at $preferred) - before >= 20)) ||
   fail "$(($(runs_at $preferred) - before)) requests in 6 s after the limit ended"
 
@@ -89,7 +89,7 @@
   fi
 done
 grep -h "^over_limit" "$WORK"/e[12].log &&
-  fail "more than the engines take"
+  fail "more requests than the limits of the engines"
 # On a machine that is too busy to send 25 requests, all must be served.
 ((served >= 25 || served == i)) ||
   fail "$served of $i requests served; the limits allow about 40"
--- a/test/soak/fault_schedule.h
+++ b/test/soak/fault_schedule.h
@@ -21,23 +21,18 @@
   /// configuration and of weights.
   kAll,
   /// Upstreams advertise rate limits, with faults of daemons and the store
-  /// only:
-  /// faults of upstreams and their links would delay requests and release them
-  /// in
-  /// bursts, which the limit check would count as violations.
+  /// only: faults of upstreams and their links would delay requests and release
+  /// them in bursts, which the limit check would count as violations.
   kLimits,
   /// Callers send requests that crash upstreams; faults of daemons and the
-  /// store
-  /// only.
+  /// store only.
   kCrashes,
   /// Upstreams ask for backoff and announce that they leave; otherwise faults
-  /// of
-  /// daemons and the store only.
+  /// of daemons and the store only.
   kFeedback,
   /// Upstreams depart while the store is unavailable for one daemon or for all,
   /// and daemons are killed. Faults are further apart, so that some daemons
-  /// have
-  /// contact with the store.
+  /// have contact with the store.
   kDepartures,
 };
 
