--- /dev/null
+++ b/test/soak/guarantee_checker.h
@@ -0,0 +1,148 @@
+/// \file
+/// Checks what callers and upstreams observed against the guarantees of the
+/// system.
+#ifndef CUMINSWITCH_TEST_SOAK_GUARANTEE_CHECKER_H_
+#define CUMINSWITCH_TEST_SOAK_GUARANTEE_CHECKER_H_
+
+#include <cstdint>
+#include <map>
+#include <string>
+#include <vector>
+
+#include "cuminswitch/Support/endpoint.h"
+#include "soak/crash_check.h"
+#include "soak/departure_check.h"
+#include "soak/feedback_check.h"
+#include "soak/limit_check.h"
+#include "soak/steady_time.h"
+
+namespace cuminswitch::soak {
+
+/// One request of a caller.
+struct sent_request {
+  std::string id;
+  std::string path;
+  std::string workspace;
+  /// The caller address of the daemon that it was sent to.
+  endpoint daemon;
+  steady_time sent_at{};
+  /// Must run at most once.
+  bool is_once = false;
+  bool is_stream = false;
+  /// Makes its upstream misbehave, so that no success is expected.
+  bool provokes_failure = false;
+  /// For requests that crash each upstream that runs them: equal for requests
+  /// that count as one for the quarantine. Empty for all others.
+  std::string crash_group;
+};
+
+/// The outcome of a request as its caller observed it.
+struct observed_response {
+  /// 0 if the connection ended before the head of a response.
+  uint32_t status = 0;
+  /// The request id in the response.
+  std::string echoed_id;
+  /// The id of the upstream that responded.
+  std::string upstream;
+  /// The response advertises a rate limit of the upstream.
+  bool advertises_limit = false;
+  /// The response announces that the upstream leaves.
+  bool announces_leaving = false;
+  std::string body;
+  /// The response ended with its framing complete.
+  bool is_complete = false;
+  bool has_retry_after = false;
+  /// The caller stopped waiting, some time after its deadline.
+  bool has_timed_out = false;
+  /// No fault has acted on the daemon since well before the request, so that a
+  /// missing response is a violation.
+  bool is_daemon_undisturbed = false;
+};
+
+/// Collects findings, each a guarantee that the observations contradict. Takes
+/// no time-outs of its own and infers nothing that was not observed.
+class guarantee_checker {
+ public:
+  void OnSent(const sent_request& request);
+  void OnResponse(const sent_request& request,
+                  const observed_response& response);
+  /// Records that an upstream ran a request, by its log.
+  void OnRun(const std::string& id,
+             const std::string& workspace,
+             const std::string& upstream);
+  /// Records that a request of an undisturbed daemon reached an upstream that
+  /// advertises a limit.
+  void OnLimitedArrival(const limit_check::arrival& item);
+  /// Records that an upstream refused a request of an undisturbed daemon and
+  /// asked for \p backoff.
+  void OnBackoffRequested(const feedback_arrival& item,
+                          std::chrono::milliseconds backoff);
+  /// Records that a request of an undisturbed daemon reached an upstream that
+  /// announces its departure.
+  void OnLeavingArrival(const feedback_arrival& item);
+  /// Records that the store acknowledged the departure of an upstream.
+  void OnDepartureAcknowledged(const std::string& upstream, steady_time at) {
+    departures_.OnAcknowledged(upstream, at);
+  }
+  /// Records that a request reached an upstream that has departed by its store
+  /// entry.
+  void OnArrivalAtDeparted(const std::string& upstream,
+                           steady_time at,
+                           bool has_store_contact);
+  /// Records that an upstream ran the request \p id, and with it a crash if the
+  /// request crashes upstreams.
+  void OnPossibleCrash(const std::string& id, bool is_daemon_undisturbed);
+  /// Returns the caller address of the daemon that the request was sent to;
+  /// null if no caller sent it.
+  const endpoint* DaemonOf(const std::string& id) const;
+  /// Records that an engine accepted a command of the leader \p holder.
+  void OnEngineCommand(const std::string& upstream,
+                       const std::string& holder,
+                       uint64_t fence);
+  /// Checks that refused at-most-once requests did not run. Call at the end,
+  /// when no request is in flight.
+  void CheckAtEnd();
+  /// Adds a finding: \p guarantee is the short name of the guarantee, \p what
+  /// the observation that violates it.
+  void ReportViolation(const std::string& guarantee, const std::string& what);
+
+  const std::vector<std::string>& findings() const { return findings_; }
+  /// Requests that got a complete response of status 200.
+  size_t served() const { return served_; }
+  size_t sent() const { return requests_.size(); }
+  /// Requests checked against advertised limits.
+  size_t limit_checked() const { return limits_.counted(); }
+  /// Requests checked against feedback of upstreams.
+  size_t feedback_checked() const { return feedback_.counted(); }
+  size_t crashes() const { return crashes_.counted(); }
+  size_t departures() const { return departures_.counted(); }
+  size_t late_at_departed() const { return departures_.late(); }
+
+ private:
+  struct record {
+    sent_request request;
+    /// Number of times that upstreams ran it.
+    uint32_t runs = 0;
+    /// The status that its caller received; 0 without a response.
+    uint32_t reported_status = 0;
+  };
+
+  void CheckSuccess(const sent_request& request,
+                    const observed_response& response);
+
+  std::map<std::string, record> requests_;
+  /// The fencing token of the last command by engine, and the leader that holds
+  /// each token.
+  std::map<std::string, uint64_t> fences_;
+  std::map<uint64_t, std::string> fence_holders_;
+  limit_check limits_;
+  feedback_check feedback_;
+  crash_check crashes_;
+  departure_check departures_;
+  std::vector<std::string> findings_;
+  size_t served_ = 0;
+};
+
+}  // namespace cuminswitch::soak
+
+#endif  // CUMINSWITCH_TEST_SOAK_GUARANTEE_CHECKER_H_
