--- a/unittests/PlatformAdapter/document_decoder_test.cc
+++ b/unittests/PlatformAdapter/document_decoder_test.cc
@@ -1,4 +1,4 @@
-// The operators' and the upstreams' items.
+// Decoding of the operators', the upstreams' and the daemons' store items.
 #include "platform/document_decoder.h"
 
 #include <gtest/gtest.h>
@@ -51,38 +51,38 @@
     }
   }
 
-  /// All that is known, put together from what the decoder told.
-  struct all_known : fleet_snapshot {
+  /// The decoded state of all items, accumulated over the decoder's results.
+  struct full_snapshot : fleet_snapshot {
     std::vector<upstream_entry> upstreams;
     std::vector<std::string> unreadable_upstreams;
   };
 
-  /// Returns null where the decoder says that nothing changed.
-  std::shared_ptr<const all_known> Decode() {
+  /// Decodes the changed items; returns null if the decoder reports no change.
+  std::shared_ptr<const full_snapshot> Decode() {
     const decoded_items decoded =
         decoder_.Decode(view_, std::exchange(changed_, {}));
     if (decoded.knowledge == nullptr && decoded.upstreams.empty()) {
       return nullptr;
     }
     if (decoded.knowledge != nullptr) {
-      static_cast<fleet_snapshot&>(known_) = *decoded.knowledge;
+      static_cast<fleet_snapshot&>(snapshot_) = *decoded.knowledge;
     }
-    for (const upstream_entry_update& news : decoded.upstreams) {
-      std::erase_if(known_.upstreams, [&](const upstream_entry& entry) {
-        return entry.id == news.id;
+    for (const upstream_entry_update& update : decoded.upstreams) {
+      std::erase_if(snapshot_.upstreams, [&](const upstream_entry& entry) {
+        return entry.id == update.id;
       });
-      std::erase(known_.unreadable_upstreams, news.id);
-      if (news.entry != nullptr) {
-        known_.upstreams.push_back(*news.entry);
-      } else if (news.is_unreadable) {
-        known_.unreadable_upstreams.push_back(news.id);
+      std::erase(snapshot_.unreadable_upstreams, update.id);
+      if (update.entry != nullptr) {
+        snapshot_.upstreams.push_back(*update.entry);
+      } else if (update.is_unreadable) {
+        snapshot_.unreadable_upstreams.push_back(update.id);
       }
     }
-    std::sort(known_.upstreams.begin(), known_.upstreams.end(),
+    std::sort(snapshot_.upstreams.begin(), snapshot_.upstreams.end(),
               [](const upstream_entry& a, const upstream_entry& b) {
                 return a.id < b.id;
               });
-    return std::make_shared<const all_known>(known_);
+    return std::make_shared<const full_snapshot>(snapshot_);
   }
 
   event_log log_{{.descriptor = -1}};
@@ -90,51 +90,51 @@
   item_view view_;
   revision_number revision_ = 0;
   std::vector<std::string> changed_;
-  all_known known_;
+  full_snapshot snapshot_;
 };
 
-TEST_F(document_decoder_test, ReadsAConfiguration) {
+TEST_F(document_decoder_test, ReadsRoutingConfig) {
   Put("op/config", kConfiguration);
-  const auto knowledge = Decode();
-  ASSERT_NE(knowledge, nullptr);
-  const routing_config& plan = *knowledge->plan;
-  EXPECT_EQ(plan.version, 7U);
-  EXPECT_EQ(plan.FindRoute("h", "/a/x")->kind, request_kind::kStream);
-  EXPECT_EQ(plan.FindRoute("h", "/a/x")->shares.size(), 2U);
-  EXPECT_EQ(plan.FindRoute("h", "/b/x")->kind, request_kind::kResumableStream);
-  EXPECT_EQ(plan.FindRoute("h", "/b/x")->max_attempts, 2U);
-  EXPECT_EQ(plan.FindRoute("h", "/c/x")->kind, request_kind::kRepeatable);
-  EXPECT_EQ(plan.FindRoute("h", "/d/x")->kind, request_kind::kOnce);
-  EXPECT_TRUE(plan.FindService("s1")->is_engine);
-  EXPECT_GT(plan.FindService("s1")->copy_rate, 400'000);
-  EXPECT_FALSE(plan.FindService("s2")->is_engine);
-  ASSERT_TRUE(plan.FindService("s3")->cache_store.has_value());
-  EXPECT_EQ(plan.FindService("s3")->cache_store->address,
+  const auto snapshot = Decode();
+  ASSERT_NE(snapshot, nullptr);
+  const routing_config& config = *snapshot->plan;
+  EXPECT_EQ(config.version, 7U);
+  EXPECT_EQ(config.FindRoute("h", "/a/x")->kind, request_kind::kStream);
+  EXPECT_EQ(config.FindRoute("h", "/a/x")->shares.size(), 2U);
+  EXPECT_EQ(config.FindRoute("h", "/b/x")->kind,
+            request_kind::kResumableStream);
+  EXPECT_EQ(config.FindRoute("h", "/b/x")->max_attempts, 2U);
+  EXPECT_EQ(config.FindRoute("h", "/c/x")->kind, request_kind::kRepeatable);
+  EXPECT_EQ(config.FindRoute("h", "/d/x")->kind, request_kind::kOnce);
+  EXPECT_TRUE(config.FindService("s1")->is_engine);
+  EXPECT_GT(config.FindService("s1")->copy_rate, 400'000);
+  EXPECT_FALSE(config.FindService("s2")->is_engine);
+  ASSERT_TRUE(config.FindService("s3")->cache_store.has_value());
+  EXPECT_EQ(config.FindService("s3")->cache_store->address,
             (endpoint{"172.20.0.2", 8781}));
-  EXPECT_TRUE(plan.FindWorkspace("k2")->is_isolated);
-  EXPECT_EQ(plan.idle_timeout, std::chrono::seconds(15));
+  EXPECT_TRUE(config.FindWorkspace("k2")->is_isolated);
+  EXPECT_EQ(config.idle_timeout, std::chrono::seconds(15));
 }
 
-// Symptom: a daemon drops all routes.
-// Sequence: an item cannot be read.
-TEST_F(document_decoder_test, WhatCannotBeReadKeepsItsLastState) {
+// Guards against dropping all routes when the configuration item is malformed.
+TEST_F(document_decoder_test, MalformedConfigKeepsLastState) {
   Put("op/config", kConfiguration);
   Decode();
   Put("op/config", "{\"version\":8");
-  const auto knowledge = Decode();
-  EXPECT_EQ(knowledge->plan->version, 7U);
+  const auto snapshot = Decode();
+  EXPECT_EQ(snapshot->plan->version, 7U);
 }
 
-TEST_F(document_decoder_test, FollowsUpstreams) {
+TEST_F(document_decoder_test, TracksUpstreamChanges) {
   Put("servers/i-1",
       R"({"backend":"s1","address":"10.0.0.9:80","zone":"z","version":"v1",
           "slots":64,"state":"ready","cold-left-ms":0,
           "models":[{"name":"m","version":3,"adapters":[]}],"seq":4})");
-  auto knowledge = Decode();
-  ASSERT_EQ(knowledge->upstreams.size(), 1U);
-  EXPECT_EQ(knowledge->upstreams[0].id, "i-1");
-  EXPECT_EQ(knowledge->upstreams[0].weights[0].version, 3U);
-  EXPECT_FALSE(knowledge->upstreams[0].is_draining);
+  auto snapshot = Decode();
+  ASSERT_EQ(snapshot->upstreams.size(), 1U);
+  EXPECT_EQ(snapshot->upstreams[0].id, "i-1");
+  EXPECT_EQ(snapshot->upstreams[0].weights[0].version, 3U);
+  EXPECT_FALSE(snapshot->upstreams[0].is_draining);
   Put("servers/i-1",
       R"({"backend":"s1","address":"10.0.0.9:80","zone":"z","version":"v1",
           "slots":64,"state":"draining","cold-left-ms":0,"seq":5})");
@@ -144,9 +144,9 @@
   EXPECT_EQ(Decode(), nullptr) << "nothing has changed";
 }
 
-// Upstreams renew their items all the time; each renewal had all daemons ask
-// for it and look at every upstream.
-TEST_F(document_decoder_test, ARenewedEntryIsNoNews) {
+// Upstreams renew their items periodically. Treating each renewal as a change
+// made all daemons request the item and visit every upstream.
+TEST_F(document_decoder_test, RenewedEntryIsNoChange) {
   const std::string begin =
       R"({"backend":"s1","address":"10.0.0.9:80","zone":"z","version":"v1",
           "slots":64,"state":"ready","cold-left-ms":0,"seq":)";
@@ -165,7 +165,8 @@
   EXPECT_GT(last.revision, first.revision);
 }
 
-/// An upstream's entry with \p field set to \p value, or without it.
+/// Returns an upstream's entry with \p field set to \p value, or without that
+/// field if \p value is empty.
 std::string UpstreamWith(const std::string& field = {},
                          const std::string& value = {}) {
   std::map<std::string, std::string> fields = {
@@ -187,12 +188,11 @@
   return text + "}";
 }
 
-// Symptom: requests go to an address that another service has by now.
-// Sequence: an upstream's entry is good; then something else writes bytes there
-// that no upstream writes.
-// Cause: an entry that could not be read kept the state before it.
-TEST_F(document_decoder_test, AnEntryByAnotherWriterNamesNoUpstream) {
-  const std::vector<std::string> foreign = {
+// Guards against sending requests to an address that now belongs to another
+// service: a well-formed upstream entry is overwritten with bytes that no
+// upstream writes, and the decoder keeps the entry before it.
+TEST_F(document_decoder_test, MalformedEntryMakesUpstreamUnreadable) {
+  const std::vector<std::string> malformed = {
       "",
       "{",
       "[]",
@@ -223,41 +223,41 @@
       UpstreamWith("models", "7"),
       UpstreamWith("models", R"([{"name":"m"}])"),
       UpstreamWith("models", R"([{"name":"m","version":-1}])")};
-  for (const std::string& value : foreign) {
+  for (const std::string& value : malformed) {
     Put("servers/i-1", UpstreamWith("seq", "4"));
     Put("servers/i-2", UpstreamWith("seq", "4"));
     ASSERT_EQ(Decode()->upstreams.size(), 2U);
     Put("servers/i-1", value);
-    const auto knowledge = Decode();
-    ASSERT_EQ(knowledge->upstreams.size(), 1U) << value.substr(0, 200);
-    EXPECT_EQ(knowledge->upstreams[0].id, "i-2");
-    EXPECT_EQ(knowledge->unreadable_upstreams, std::vector<std::string>{"i-1"});
+    const auto snapshot = Decode();
+    ASSERT_EQ(snapshot->upstreams.size(), 1U) << value.substr(0, 200);
+    EXPECT_EQ(snapshot->upstreams[0].id, "i-2");
+    EXPECT_EQ(snapshot->unreadable_upstreams, std::vector<std::string>{"i-1"});
   }
   Put("servers/i-1", UpstreamWith("seq", "4"));
-  const auto knowledge = Decode();
-  EXPECT_EQ(knowledge->upstreams.size(), 2U);
-  EXPECT_TRUE(knowledge->unreadable_upstreams.empty());
+  const auto snapshot = Decode();
+  EXPECT_EQ(snapshot->upstreams.size(), 2U);
+  EXPECT_TRUE(snapshot->unreadable_upstreams.empty());
 }
 
-// Symptom: every engine counts as outdated, and none may serve.
-// Sequence: another writer names version -1 of a model.
-// Cause: converted, it is the greatest version that there can be.
-TEST_F(document_decoder_test, ANamingByAnotherWriterChangesNothing) {
+// Guards against treating every engine as outdated, so that none may serve: a
+// foreign writer publishes version -1 of a model, which converts to the
+// greatest possible version.
+TEST_F(document_decoder_test, MalformedWeightsVersionKeepsLastState) {
   Put("op/version/m", R"({"model":"m","version":2})");
   Decode();
   for (const char* value :
        {R"({"model":"m","version":-1})", R"({"model":"m","version":1e300})",
         R"({"model":"m"})", R"({"version":9})", "\xff", ""}) {
     Put("op/version/m", value);
-    const auto knowledge = Decode();
-    ASSERT_EQ(knowledge->wanted_weights.size(), 1U) << value;
-    EXPECT_EQ(knowledge->wanted_weights[0].version, 2U) << value;
+    const auto snapshot = Decode();
+    ASSERT_EQ(snapshot->wanted_weights.size(), 1U) << value;
+    EXPECT_EQ(snapshot->wanted_weights[0].version, 2U) << value;
   }
 }
 
-// Symptom: a daemon that is alive is left out.
-// Sequence: a daemon's record is overwritten with bytes that are no address.
-TEST_F(document_decoder_test, AMemberByAnotherWriterTakesNoneAway) {
+// Guards against omitting a daemon that is alive: its record is overwritten
+// with bytes that are not an address.
+TEST_F(document_decoder_test, MalformedDaemonRecordKeepsLastState) {
   Put(std::string(kDaemonsPrefix) + "d1", "10.0.0.1:70");
   Put(std::string(kDaemonsPrefix) + "d2", "10.0.0.2:70");
   Put(std::string(kDaemonsPrefix) + "d1", "\xff");
@@ -268,11 +268,11 @@
   EXPECT_EQ(Decode()->daemons.size(), 2U);
 }
 
-// Symptom: requests go to an address where nothing listens any more.
-// Sequence: an upstream starts again under its id, at another address; a write
-// of its earlier start, held up on the way, arrives afterwards.
-// Cause: the last write won, not the latest start.
-TEST_F(document_decoder_test, ALateWriteOfAnEarlierStartChangesNothing) {
+// Guards against sending requests to an address where nothing listens any more:
+// an upstream restarts under its id at another address, a delayed write of its
+// earlier start arrives afterwards, and the last write wins instead of the
+// latest start.
+TEST_F(document_decoder_test, IgnoresLateWriteOfEarlierStart) {
   Put("servers/i-1", UpstreamWith("born", "1000"));
   EXPECT_EQ(Decode()->upstreams[0].started, 1000U);
   Put("servers/i-1", UpstreamWith("born", "2000"));
@@ -283,10 +283,10 @@
   EXPECT_TRUE(Decode()->upstreams.empty());
   Put("servers/i-1", UpstreamWith("born", "1000"));
   EXPECT_EQ(Decode(), nullptr)
-      << "what had gone came back with an earlier start's write";
+      << "a write of an earlier start restored a removed upstream";
 }
 
-TEST_F(document_decoder_test, AnEntryThatTellsNoStartAnyMoreIsForeign) {
+TEST_F(document_decoder_test, EntryThatLosesItsStartTimeIsUnreadable) {
   Put("servers/i-1", UpstreamWith("born"));
   EXPECT_EQ(Decode()->upstreams.size(), 1U);
   Put("servers/i-1", UpstreamWith("born", "1000"));
@@ -295,19 +295,20 @@
   EXPECT_TRUE(Decode()->upstreams.empty());
 }
 
-TEST_F(document_decoder_test, FollowsNamedWeightsDaemonsAndTheLeader) {
+TEST_F(document_decoder_test, TracksWeightsDaemonsAndLeader) {
   Put("op/version/m", R"({"model":"m","version":2})");
   Put(std::string(kDaemonsPrefix) + "d1", "10.0.0.1:70");
   Put(kLeaderKey, "d1");
-  auto knowledge = Decode();
-  EXPECT_EQ(knowledge->wanted_weights[0].version, 2U);
-  EXPECT_EQ(knowledge->daemons[0].name, "d1");
-  EXPECT_EQ(knowledge->leader, "d1");
+  auto snapshot = Decode();
+  EXPECT_EQ(snapshot->wanted_weights[0].version, 2U);
+  EXPECT_EQ(snapshot->daemons[0].name, "d1");
+  EXPECT_EQ(snapshot->leader, "d1");
   Remove(kLeaderKey);
   EXPECT_EQ(Decode()->leader, "");
 }
 
-/// The configuration with other fields of its workspace.
+/// Returns the configuration with \p fields in place of its workspace's
+/// `isolated` field.
 std::string WithWorkspace(const std::string& fields) {
   std::string text = kConfiguration;
   const std::string from = "\"isolated\":true";
@@ -315,7 +316,7 @@
   return text;
 }
 
-TEST_F(document_decoder_test, FollowsQuarantinedRequests) {
+TEST_F(document_decoder_test, TracksQuarantinedRequests) {
   const hash128 request{.high = 0xab, .low = 0xcd};
   Put(kQuarantinePrefix + ToHex(request), "d1");
   Put(std::string(kQuarantinePrefix) + "nonsense", "d1");
@@ -324,11 +325,11 @@
   EXPECT_TRUE(Decode()->quarantined.empty());
 }
 
-TEST_F(document_decoder_test, ReadsAQuota) {
+TEST_F(document_decoder_test, ReadsQuota) {
   Put("op/config", WithWorkspace("\"unit\":\"tokens\",\"rate-per-s\":500,"
                                  "\"burst\":700,\"uncached-tokens\":200"));
-  const auto knowledge = Decode();
-  const auto& quota = knowledge->plan->workspaces.front().quota;
+  const auto snapshot = Decode();
+  const auto& quota = snapshot->plan->workspaces.front().quota;
   ASSERT_TRUE(quota.has_value());
   EXPECT_EQ(quota->rate, 500);
   EXPECT_EQ(quota->burst, 700);
@@ -336,29 +337,28 @@
   EXPECT_EQ(quota->uncounted_tokens, 200);
 }
 
-TEST_F(document_decoder_test, ARateOfNothingIsNoLimit) {
+TEST_F(document_decoder_test, ZeroOrMissingRateIsNoLimit) {
   for (const char* fields :
        {"\"isolated\":true", "\"rate-per-s\":0,\"burst\":9",
         "\"rate-per-s\":null"}) {
     Put("op/config", WithWorkspace(fields));
-    const auto knowledge = Decode();
-    EXPECT_FALSE(knowledge->plan->workspaces.front().quota) << fields;
+    const auto snapshot = Decode();
+    EXPECT_FALSE(snapshot->plan->workspaces.front().quota) << fields;
   }
 }
 
-// Symptom: after a mistake in one workspace's quota it has none, and uses the
-// engines of all others.
-// Cause: a limit that cannot be read was taken for no limit.
-TEST_F(document_decoder_test, AnUnreadableQuotaLeavesTheConfigurationInForce) {
+// Guards against reading a malformed quota as no limit: after a mistake in its
+// quota, a workspace could use the engine capacity of all others.
+TEST_F(document_decoder_test, MalformedQuotaKeepsLastConfig) {
   Put("op/config", WithWorkspace("\"rate-per-s\":500"));
   const auto before = Decode();
   for (const char* fields :
        {"\"rate-per-s\":-1", "\"rate-per-s\":\"many\"",
         "\"rate-per-s\":5,\"burst\":-2", "\"unit\":\"bytes\""}) {
     Put("op/config", WithWorkspace(fields));
-    const auto knowledge = Decode();
-    ASSERT_NE(knowledge, nullptr) << fields;
-    EXPECT_EQ(knowledge->plan, before->plan) << fields;
+    const auto snapshot = Decode();
+    ASSERT_NE(snapshot, nullptr) << fields;
+    EXPECT_EQ(snapshot->plan, before->plan) << fields;
   }
 }
 
--- a/unittests/PlatformAdapter/fleet_growth_test.cc
+++ b/unittests/PlatformAdapter/fleet_growth_test.cc
@@ -1,5 +1,5 @@
-// What single steps of a daemon cost as the fleet grows, with ten upstreams a
-// host. Prints the table that docs/CAPACITY.md holds.
+// The cost of single operations of a daemon as the fleet grows, at ten
+// upstreams per host. Prints the figures of the table in docs/CAPACITY.md.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -43,10 +43,11 @@
 namespace {
 
 constexpr time_point kNow{std::chrono::seconds(100)};
-constexpr recovery_window kReturned{.until = kNow + std::chrono::seconds(2),
-                                    .last_removal = 1};
+constexpr recovery_window kRecoveryWindow{
+    .until = kNow + std::chrono::seconds(2),
+    .last_removal = 1};
 constexpr size_t kUpstreamsPerHost = 10;
-constexpr int kRepeats = 60;
+constexpr int kMeasurements = 60;
 
 std::string IdOf(size_t number) {
   return "i-" + std::to_string(1'000'000 + number);
@@ -63,7 +64,7 @@
          std::to_string(seq) + "}";
 }
 
-class lone_daemon : public shard_directory {
+class single_daemon_directory : public shard_directory {
  public:
   const member* FindOwner(shard_number /*shard*/) const override {
     return nullptr;
@@ -71,7 +72,7 @@
   size_t CountServing() const override { return 1; }
 };
 
-/// The parts of one daemon that know the fleet.
+/// The components of one daemon that hold state about the whole fleet.
 class daemon_parts {
  public:
   explicit daemon_parts(size_t hosts) {
@@ -81,26 +82,27 @@
                        .value = UpstreamText(i, "ready", 1),
                        .revision = ++revision_});
     }
-    TakeIn(items);
+    ApplyItems(items);
     for (const upstream_ref& entry : directory_.List()) {
-      lapsed_.Take(kNow, {.id = entry->id, .entry = entry}, kReturned);
-      lapsed_.Take(kNow, {.id = entry->id, .revision = 1}, kReturned);
+      retained_.Take(kNow, {.id = entry->id, .entry = entry}, kRecoveryWindow);
+      retained_.Take(kNow, {.id = entry->id, .revision = 1}, kRecoveryWindow);
     }
     for (size_t i = 0; i < hosts; ++i) {
-      roster_.OnHeartbeat(kNow, BeatOf(i));
+      peers_.OnHeartbeat(kNow, MakeHeartbeat(i));
     }
-    roster_.TakeChanged(kNow);
+    peers_.TakeChanged(kNow);
   }
 
-  /// Takes in changed items, from the store's answer to the router.
-  void TakeIn(std::span<const item_change> items) {
+  /// Applies changed items along the whole path from a store reply to the
+  /// router.
+  void ApplyItems(std::span<const item_change> items) {
     const std::vector<std::string> keys = view_.ApplyChanges(items, revision_);
     const decoded_items decoded = decoder_.Decode(view_, keys);
     for (const std::string& key : decoded.changed_keys) {
       view_.MarkForRelay(key);
     }
-    for (const upstream_entry_update& news : decoded.upstreams) {
-      directory_.Take(kNow, news, {});
+    for (const upstream_entry_update& update : decoded.upstreams) {
+      directory_.Take(kNow, update, {});
     }
     std::vector<upstream_update> updates;
     for (const upstream_change& change : directory_.TakeChanges()) {
@@ -111,21 +113,21 @@
   }
 
   void Renew() { ChangeOne("ready"); }
-  void Drain() { ChangeOne(++turn_ % 2 == 0 ? "ready" : "draining"); }
+  void Drain() { ChangeOne(++drain_count_ % 2 == 0 ? "ready" : "draining"); }
   void Tick() {
     action_list actions;
     router_.OnTick(kNow, actions);
     router_.ListBacklogs();
   }
-  void Beat() {
-    roster_.OnHeartbeat(kNow, BeatOf(3));
-    roster_.SampleAlive(kNow);
+  void ExchangeHeartbeat() {
+    peers_.OnHeartbeat(kNow, MakeHeartbeat(3));
+    peers_.SampleAlive(kNow);
   }
-  void KeepLapsed() { lapsed_.Expire(kNow, kReturned); }
-  void TellNews() { view_.ListRelayedSince(view_.relay_revision() - 1); }
+  void ExpireRetained() { retained_.Expire(kNow, kRecoveryWindow); }
+  void ListUpdates() { view_.ListRelayedSince(view_.relay_revision() - 1); }
 
  private:
-  static heartbeat_frame BeatOf(size_t host) {
+  static heartbeat_frame MakeHeartbeat(size_t host) {
     const endpoint address{.address = "10.9." + std::to_string(host / 250) +
                                       "." + std::to_string(host % 250),
                            .port = 70};
@@ -141,20 +143,20 @@
     const item_change change{.key = "servers/" + IdOf(7),
                              .value = UpstreamText(7, state, revision_),
                              .revision = ++revision_};
-    TakeIn(std::span(&change, 1));
+    ApplyItems(std::span(&change, 1));
   }
 
   event_log log_{{.descriptor = -1}};
   item_view view_;
   document_decoder decoder_{log_};
   upstream_directory directory_;
-  /// All entries lapsed with the store, and are kept.
-  upstream_directory lapsed_;
-  lone_daemon members_;
+  /// All of its entries expired during a store outage and are retained.
+  upstream_directory retained_;
+  single_daemon_directory members_;
   request_router router_{{}, members_};
-  peer_table roster_{{.self_name = "self"}};
+  peer_table peers_{{.self_name = "self"}};
   revision_number revision_ = 0;
-  size_t turn_ = 0;
+  size_t drain_count_ = 0;
 };
 
 struct step_cost {
@@ -162,10 +164,11 @@
   double microseconds = 0;
 };
 
-/// The least that one of many calls of \p step costs; others are disturbed.
+/// Returns the minimum cost of a call of \p step over `kMeasurements` calls;
+/// the others are disturbed by the rest of the system.
 step_cost Measure(const std::function<void()>& step) {
   step_cost least{.allocations = SIZE_MAX, .microseconds = 1e9};
-  for (int i = 0; i < kRepeats; ++i) {
+  for (int i = 0; i < kMeasurements; ++i) {
     const size_t before = allocation_count;
     const auto begin = std::chrono::steady_clock::now();
     step();
@@ -182,18 +185,20 @@
   void (daemon_parts::*run)();
 };
 
-// A daemon of a large fleet spends its time on what others do: each change of
-// one upstream, each tick and each beat visited all upstreams or all hosts.
-TEST(fleet_growth_test, OneStepCostsTheSameInALargeFleet) {
+// Guards against operations whose cost grows with the fleet: each change of one
+// upstream, each tick and each heartbeat visited all upstreams or all hosts, so
+// that a daemon of a large fleet spent its time on them.
+TEST(fleet_growth_test, CostOfOneStepDoesNotGrowWithFleet) {
   constexpr named_step kSteps[] = {
       {"an upstream renews its item", &daemon_parts::Renew},
       {"an upstream changes", &daemon_parts::Drain},
       {"a tick of the router", &daemon_parts::Tick},
-      {"a beat comes and one goes", &daemon_parts::Beat},
-      {"news for a peer", &daemon_parts::TellNews},
-      {"a tick while all are kept", &daemon_parts::KeepLapsed}};
-  // Lookups take a few steps more and miss the processor's caches; a walk over
-  // 67 times as many costs 67 times as much.
+      {"a heartbeat in and one out", &daemon_parts::ExchangeHeartbeat},
+      {"updates for a peer", &daemon_parts::ListUpdates},
+      {"a tick with all retained", &daemon_parts::ExpireRetained}};
+  // Allowed growth from 30 to 2,000 hosts. Lookups take a few more steps and
+  // miss the processor's caches; a walk over 67 times as many costs 67 times as
+  // much.
   constexpr double kLookupGrowth = 12;
   constexpr double kNoiseMicroseconds = 5;
   std::map<std::string, step_cost> small;
--- a/unittests/PlatformAdapter/http_protocol_test.cc
+++ b/unittests/PlatformAdapter/http_protocol_test.cc
@@ -1,4 +1,4 @@
-// Header fields of the platform.
+// Translation of the platform's header fields.
 #include "platform/http_protocol.h"
 
 #include <gtest/gtest.h>
@@ -33,7 +33,7 @@
   return found;
 }
 
-TEST(http_protocol_test, ReadsARequest) {
+TEST(http_protocol_test, ReadsRequest) {
   const caller_request request = http_protocol().ReadRequest(MakeHead());
   EXPECT_EQ(request.attempt, "id1");
   EXPECT_EQ(request.host, "h");
@@ -47,9 +47,9 @@
   EXPECT_EQ(request.parts[1].tokens, 410U);
 }
 
-// Symptom: a caller acts as another workspace, or reaches another's cache.
-// Cause: fields that the system sets were forwarded as the caller sent them.
-TEST(http_protocol_test, WhatTheSystemSetsIsNeverTheCallers) {
+// Guards against a caller that acts as another workspace or reaches its cache:
+// fields that only the daemon may set were forwarded as the caller sent them.
+TEST(http_protocol_test, RemovesSystemFieldsOfCallers) {
   message_head head = MakeHead();
   for (const char* name :
        {"X-Tenant", "x-cache-salt", "X-Expect-Replica", "X-Expect-Version",
@@ -69,7 +69,7 @@
   EXPECT_EQ(Find(bare, "X-Attempt-Id"), "id1");
 }
 
-TEST(http_protocol_test, FieldsOfOneConnectionStay) {
+TEST(http_protocol_test, DoesNotForwardConnectionFields) {
   message_head head = MakeHead();
   head.headers.push_back({"Connection", "close, X-Custom"});
   head.headers.push_back({"Keep-Alive", "timeout=5"});
@@ -82,7 +82,7 @@
   }
 }
 
-TEST(http_protocol_test, AContinuedStreamNamesItsLastEvent) {
+TEST(http_protocol_test, ResumedStreamSendsLastEventId) {
   message_head head = MakeHead();
   head.headers.push_back({"Last-Event-Id", "3"});
   EXPECT_EQ(Find(http_protocol().WriteRequest(head, {.upstream = "u"}),
@@ -94,21 +94,21 @@
             "9");
 }
 
-TEST(http_protocol_test, ReadsAnswers) {
+TEST(http_protocol_test, ReadsResponses) {
   message_head head;
   head.status = 200;
   head.headers = {{"X-Attempt-Id", "id1"},
                   {"X-Replica-Stamp", "s"},
                   {"X-Replica-Load", "3,2,8"}};
-  response_attributes answer = http_protocol().ReadAnswer(head);
-  EXPECT_TRUE(answer.is_signed);
-  EXPECT_FALSE(answer.was_not_run);
-  EXPECT_EQ(answer.load->running, 3U);
-  EXPECT_EQ(answer.load->waiting, 2U);
+  response_attributes response = http_protocol().ReadAnswer(head);
+  EXPECT_TRUE(response.is_signed);
+  EXPECT_FALSE(response.was_not_run);
+  EXPECT_EQ(response.load->running, 3U);
+  EXPECT_EQ(response.load->waiting, 2U);
   head.status = 421;
-  answer = http_protocol().ReadAnswer(head);
-  EXPECT_TRUE(answer.is_mismatch);
-  EXPECT_TRUE(answer.was_not_run);
+  response = http_protocol().ReadAnswer(head);
+  EXPECT_TRUE(response.is_mismatch);
+  EXPECT_TRUE(response.was_not_run);
   head.status = 503;
   head.headers = {{"X-Not-Executed", "1"}};
   EXPECT_TRUE(http_protocol().ReadAnswer(head).was_not_run);
@@ -116,7 +116,7 @@
   EXPECT_FALSE(http_protocol().ReadAnswer(head).was_not_run);
 }
 
-TEST(http_protocol_test, ReadsTheRestThatARefusalAsksFor) {
+TEST(http_protocol_test, ReadsBackoffOfRefusal) {
   const auto read = [](const std::vector<std::string>& values) {
     message_head head;
     head.status = 503;
@@ -140,7 +140,7 @@
   EXPECT_EQ(read({"3", "soon"}).kind, notice_kind::kUnreadable);
 }
 
-TEST(http_protocol_test, ReadsThatAnUpstreamLeaves) {
+TEST(http_protocol_test, ReadsUpstreamLeaving) {
   message_head head;
   head.status = 200;
   EXPECT_FALSE(http_protocol().ReadAnswer(head).is_leaving);
@@ -153,7 +153,7 @@
   EXPECT_FALSE(http_protocol().ReadAnswer(head).is_leaving);
 }
 
-TEST(http_protocol_test, ReadsTheLimitThatAnUpstreamNames) {
+TEST(http_protocol_test, ReadsUpstreamRateLimit) {
   const auto read = [](const std::vector<std::string>& values) {
     message_head head;
     head.status = 200;
--- a/unittests/PlatformAdapter/platform_settings_test.cc
+++ b/unittests/PlatformAdapter/platform_settings_test.cc
@@ -1,4 +1,4 @@
-// The settings file that the platform writes.
+// Parsing of the settings file that the platform writes.
 #include "platform/platform_settings.h"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
 address = "10.200.1.7:8784"
 )";
 
-TEST(platform_settings_test, ReadsTheFile) {
+TEST(platform_settings_test, ReadsSettings) {
   const platform_settings settings = ParsePlatformSettings(kSettings, "f");
   EXPECT_EQ(settings.host, "d1");
   EXPECT_EQ(settings.failure_domain, "z1");
@@ -36,7 +36,7 @@
   EXPECT_EQ(settings.seeds.size(), 1U);
 }
 
-TEST(platform_settings_test, ReportsEveryFindingWithItsPlace) {
+TEST(platform_settings_test, ReportsAllFindingsWithPlaces) {
   std::string text = kSettings;
   text.replace(text.find("10.1.0.30:8789"), 14, "nowhere");
   text.replace(text.find("zone = \"z1\""), 11, "zone = 3");
@@ -51,7 +51,7 @@
   }
 }
 
-TEST(platform_settings_test, ReportsASyntaxError) {
+TEST(platform_settings_test, RejectsSyntaxError) {
   EXPECT_THROW(ParsePlatformSettings("node-name = ", "f"), findings_error);
 }
 
--- a/unittests/PlatformAdapter/store_client_test.cc
+++ b/unittests/PlatformAdapter/store_client_test.cc
@@ -1,4 +1,4 @@
-// Reading the store page by page.
+// Paged reads of the store.
 #include "platform/store_client.h"
 
 #include <event2/event.h>
@@ -18,11 +18,12 @@
   void operator()(event_base* base) const { event_base_free(base); }
 };
 
-/// Serves two pages of one item each; the second one fails the first time.
+/// Serves two pages of one item each; the first request for the second page
+/// fails.
 class paged_store : public http_request_handler {
  public:
   void OnRequest(std::shared_ptr<http_exchange> exchange) override {
-    ++pages_asked;
+    ++page_requests;
     const bool is_second = exchange->Parameter("after") == "a";
     if (is_second && !has_failed) {
       has_failed = true;
@@ -36,7 +37,7 @@
                         (is_second ? "9" : "5") + R"(,"has-more":)" +
                         (is_second ? "false" : "true") + "}");
   }
-  size_t pages_asked = 0;
+  size_t page_requests = 0;
   bool has_failed = false;
 };
 
@@ -69,27 +70,27 @@
   store_client client_;
 };
 
-// Symptom: 30 s after all of 300 daemons were killed the fleet serves nobody.
-// Sequence: all start at once; a page comes late on the store's full link, and
-// its daemon reads anew from the first page on. Cause: pages that had come were
-// thrown away, so that the link carried them again and again.
-TEST_F(store_client_test, AReadGoesOnBehindTheLastPageThatCame) {
+// Guards against a fleet that cannot start: 30 s after all of 300 daemons were
+// killed, none served requests. All start at once, a page arrives late over the
+// store's saturated link, and if its daemon discards the pages received so far
+// and restarts from the first, the link carries the same pages over and over.
+TEST_F(store_client_test, FailedReadResumesAfterLastPage) {
   EXPECT_EQ(ReadAll().end, store_status::kRefused);
   const store_items items = ReadAll();
   EXPECT_EQ(items.end, store_status::kDone);
   ASSERT_EQ(items.items.size(), 2U);
   EXPECT_EQ(items.items[0].key, "a");
   EXPECT_EQ(items.items[1].key, "b");
-  // As of the first page: what changed since comes with the changes.
+  // The revision of the first page: later changes arrive with the next watch.
   EXPECT_EQ(items.revision, 5U);
-  EXPECT_EQ(pages_.pages_asked, 3U);
+  EXPECT_EQ(pages_.page_requests, 3U);
 }
 
-TEST_F(store_client_test, AReadAfterAWholeOneBeginsAnew) {
+TEST_F(store_client_test, ReadAfterCompleteReadStartsOver) {
   pages_.has_failed = true;
   EXPECT_EQ(ReadAll().items.size(), 2U);
   EXPECT_EQ(ReadAll().items.size(), 2U);
-  EXPECT_EQ(pages_.pages_asked, 4U);
+  EXPECT_EQ(pages_.page_requests, 4U);
 }
 
 }  // namespace
