--- a/unittests/PlatformAdapter/fleet_growth_test.cc
+++ b/unittests/PlatformAdapter/fleet_growth_test.cc
@@ -84,8 +84,8 @@
     }
     ApplyItems(items);
     for (const upstream_ref& entry : directory_.List()) {
-      retained_.Take(kNow, {.id = entry->id, .entry = entry}, kRecoveryWindow);
-      retained_.Take(kNow, {.id = entry->id, .revision = 1}, kRecoveryWindow);
+      retained_.Apply(kNow, {.id = entry->id, .entry = entry}, kRecoveryWindow);
+      retained_.Apply(kNow, {.id = entry->id, .revision = 1}, kRecoveryWindow);
     }
     for (size_t i = 0; i < hosts; ++i) {
       peers_.OnHeartbeat(kNow, MakeHeartbeat(i));
