--- a/include/cuminswitch/Edge/arrival_translator.h
+++ b/include/cuminswitch/Edge/arrival_translator.h
@@ -1,5 +1,5 @@
 /// \file
-/// A caller's request as the router is told of it.
+/// Translates a caller's request into the router's and the quota's terms.
 #ifndef CUMINSWITCH_EDGE_ARRIVAL_TRANSLATOR_H_
 #define CUMINSWITCH_EDGE_ARRIVAL_TRANSLATOR_H_
 
@@ -14,21 +14,21 @@
 class caller_exchange;
 struct workspace_config;
 
-/// Returns a digest of what a caller of \p workspace sends again, and what is
-/// the same however often it does. The workspace is part of it, so that no
-/// workspace can have anything to do with another's requests.
+/// Returns a digest of the request that is the same each time its caller
+/// repeats it: of method, host, target and body. \p workspace is part of the
+/// digest, so that requests of two workspaces never share one.
 hash128 DigestRequest(const caller_exchange& exchange,
                       std::string_view workspace);
-/// Describes the request of \p flow; \p workspace is null where its route is
-/// open to all.
+/// Returns the router's event for the request of \p flow. \p workspace is null
+/// where the route needs no credential.
 request_arrived DescribeArrival(const request_flow::options& flow,
                                 const workspace_config* workspace);
-/// Describes the request of \p flow, whose workspace has \p quota.
-quota_admission::admission_query DescribeQuotaQuestion(
-    time_point now,
-    const request_flow& flow,
-    const quota_config& quota,
-    request_arrived arrival);
+/// Returns the quota query for the request of \p flow, whose workspace has
+/// \p quota.
+quota_admission::admission_query DescribeQuotaQuery(time_point now,
+                                                    const request_flow& flow,
+                                                    const quota_config& quota,
+                                                    request_arrived arrival);
 
 }  // namespace cuminswitch
 
--- a/include/cuminswitch/Edge/attempt_disposition.h
+++ b/include/cuminswitch/Edge/attempt_disposition.h
@@ -1,5 +1,5 @@
 /// \file
-/// What an attempt's end means for its request.
+/// Classifies how an attempt ended and what follows for its request.
 #ifndef CUMINSWITCH_EDGE_ATTEMPT_DISPOSITION_H_
 #define CUMINSWITCH_EDGE_ATTEMPT_DISPOSITION_H_
 
@@ -10,42 +10,46 @@
 
 namespace cuminswitch {
 
-/// What came back from an upstream.
+/// How an attempt at an upstream ended.
 enum class attempt_result : uint8_t {
-  /// A whole answer of success, signed and for this attempt.
+  /// A complete success response, signed and for this attempt.
   kSuccess,
-  /// A whole, signed answer of failure after a run.
+  /// A complete failure response after the upstream executed the request.
   kFailure,
-  /// The upstream states that it did not run the request.
+  /// The upstream states that it did not execute the request.
   kRefused,
-  /// Another upstream than was meant, or other weights: not run.
+  /// The upstream is not the intended one, or has other weights; it did not
+  /// execute the request.
   kMismatch,
-  /// No connection came about.
+  /// No connection was established.
   kNotConnected,
-  /// The connection broke before the answer was whole.
+  /// The connection was lost before the response was complete.
   kBroken,
-  /// Nothing came for so long that this daemon gave the attempt up.
+  /// No bytes arrived within the stall timeout, so this daemon ended the
+  /// attempt.
   kStalled,
-  /// Something that is no answer to this attempt.
+  /// The bytes received are not a response to this attempt.
   kUnrelated,
 };
 
-/// How much of the answer the caller already has.
+/// Whether the caller has already received a part of the response.
 enum class response_progress : uint8_t { kNothing, kBegun };
 
-/// What to do about it.
+/// How to proceed after an attempt.
 enum class attempt_action : uint8_t {
-  /// The caller gets this answer.
+  /// Send this response to the caller.
   kForward,
-  /// Another upstream may be asked; if none can be, the caller gets this
-  /// answer.
+  /// Retry at another upstream; if none is available, send this response to the
+  /// caller.
   kRetryOrForward,
-  /// Another upstream may be asked; if none can be, the caller is told what is
-  /// known.
+  /// Retry at another upstream; if none is available, report the known outcome
+  /// to the caller.
   kRetry,
-  /// The caller is told that the end is not known.
+  /// Report to the caller that the outcome is unknown.
   kReportUnknown,
-  /// The caller's connection ends, so that the answer cannot pass for whole.
+  /// Close the caller's connection, so that the caller does not take a
+  /// truncated
+  /// response for a complete one.
   kAbort,
 };
 
@@ -54,12 +58,13 @@
   attempt_action action = attempt_action::kReportUnknown;
 };
 
-/// Returns the answer's name as it stands in logs.
+/// Returns the name of \p value in the log.
 std::string_view ToString(attempt_result value);
 
-/// Judges an attempt. \p may_repeat says that the request may run again, for a
-/// stream that it may go on elsewhere after its last event.
-attempt_disposition ClassifyAttempt(attempt_result answer,
+/// Classifies an attempt that ended with \p result. \p may_repeat states that
+/// the request may be executed again; for a stream, that another upstream may
+/// resume it after its last event.
+attempt_disposition ClassifyAttempt(attempt_result result,
                                     response_progress progress,
                                     bool may_repeat);
 
--- a/include/cuminswitch/Edge/connection_share.h
+++ b/include/cuminswitch/Edge/connection_share.h
@@ -1,5 +1,5 @@
 /// \file
-/// How many idle connections one daemon keeps to an upstream.
+/// Limits the idle connections that one daemon keeps to an upstream.
 #ifndef CUMINSWITCH_EDGE_CONNECTION_SHARE_H_
 #define CUMINSWITCH_EDGE_CONNECTION_SHARE_H_
 
@@ -9,24 +9,25 @@
 namespace cuminswitch {
 
 struct connection_share {
-  /// Connections that the upstream takes from all daemons; 0 for not known.
+  /// Connections that the upstream accepts from all daemons together; 0 if
+  /// unknown.
   uint32_t max_connections = 0;
-  /// Requests that it runs at once, which need connections too.
+  /// Requests that the upstream executes concurrently; each needs a connection.
   uint32_t slots = 0;
-  /// Daemons that may be at work, this one included.
+  /// Daemons that are possibly active, including this one.
   size_t daemons = 1;
-  /// Hashes of this daemon's and of the upstream's name.
+  /// Hashes of the names of this daemon and of the upstream.
   uint64_t self = 0;
   uint64_t upstream = 0;
 };
 
-/// Returns the idle connections that this daemon may keep.
+/// Returns the number of idle connections that this daemon may keep.
 ///
-/// An upstream resets what comes beyond its connections, idle ones included,
-/// and then a new request finds no way to it. Daemons that each keep as many as
-/// they ever used at once hold more than all of them, the more daemons there
-/// are. Where there is less than one for each, some keep one and the others
-/// none.
+/// An upstream resets connections beyond its maximum, which counts idle ones,
+/// so too many idle connections make new requests fail. If each daemon kept as
+/// many as it once used concurrently, a large fleet would exceed the maximum.
+/// Where the share is below one connection per daemon, some daemons keep one
+/// and the others none.
 size_t IdleShare(const connection_share& share);
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Edge/edge_metrics.h
+++ b/include/cuminswitch/Edge/edge_metrics.h
@@ -1,5 +1,5 @@
 /// \file
-/// Counts and times of the requests that a daemon serves on the platform.
+/// Metrics of the requests that a daemon serves on the platform.
 #ifndef CUMINSWITCH_EDGE_EDGE_METRICS_H_
 #define CUMINSWITCH_EDGE_EDGE_METRICS_H_
 
@@ -16,7 +16,9 @@
 
 namespace cuminswitch {
 
-/// Bounded: routes come from the configuration, reasons from this program.
+/// Counts requests by route and outcome. The label values are bounded: routes
+/// come from the configuration and are capped, reasons are constants of the
+/// program.
 class edge_metrics {
  public:
   void CountEnd(const std::string& route,
@@ -24,11 +26,12 @@
                 std::string_view reason,
                 double seconds);
   void CountFirstByte(const std::string& route, double seconds);
-  /// An answer came whole and late: by its first byte, by a pause, or both.
+  /// Counts a complete but late response; \p cause is `first_byte`, `pause` or
+  /// `both`.
   void CountLate(const std::string& route, std::string_view cause);
-  /// Answers of our own to what is no request of any route.
+  /// Counts a request that was rejected with \p status before routing.
   void CountRejected(uint32_t status) { ++rejected_[status]; }
-  /// What the page tells beside what is counted here.
+  /// Figures of other objects that the metrics page includes.
   struct sources {
     const core_status& status;
     const std::map<std::string, quota_counts>& quotas;
@@ -44,7 +47,7 @@
 
  private:
   struct route_metrics {
-    std::map<std::string, uint64_t> ends;
+    std::map<std::string, uint64_t> outcomes;
     std::map<std::string, uint64_t, std::less<>> late;
     latency_histogram duration;
     latency_histogram first_byte;
--- a/include/cuminswitch/Edge/edge_protocol.h
+++ b/include/cuminswitch/Edge/edge_protocol.h
@@ -1,5 +1,5 @@
 /// \file
-/// The heads of requests and answers in the project's terms.
+/// Translates between HTTP message heads and the daemon's own structs.
 #ifndef CUMINSWITCH_EDGE_EDGE_PROTOCOL_H_
 #define CUMINSWITCH_EDGE_EDGE_PROTOCOL_H_
 
@@ -16,21 +16,21 @@
 
 namespace cuminswitch {
 
-/// A part of a prompt; requests that share their first parts share what an
-/// engine computed for them.
+/// A part of a prompt. Requests whose prompts begin with the same parts can
+/// share an engine's cached computation for them.
 struct prompt_part {
   std::string id;
   uint32_t tokens = 0;
 };
 
-/// What a caller's head says.
+/// The fields of a caller's request head.
 struct caller_request {
-  /// The caller's name for this attempt of its own.
+  /// The caller's identifier of this attempt; new for each retry by the caller.
   std::string attempt;
   std::string host;
   std::string path;
   std::string credential;
-  /// How long the caller will wait; nothing when it does not say.
+  /// The longest time that the caller will wait, if it states one.
   std::optional<duration> max_wait;
   std::string model;
   std::vector<prompt_part> parts;
@@ -38,52 +38,53 @@
   uint32_t max_output_tokens = 0;
 };
 
-/// What the daemon tells an upstream along with a request.
+/// The fields that the daemon adds to the head of a request to an upstream.
 struct dispatch_attributes {
-  /// The start of the upstream that the request is meant for.
+  /// The identifier of the upstream process that the request is intended for.
   std::string upstream;
   /// Empty where the route needs no credential.
   std::string workspace;
   duration time_left{0};
   /// 0 is the most urgent.
   uint32_t rank = 0;
-  /// Keeps caches apart that must not meet; nothing for a plain service.
+  /// Separates the cached prefixes of isolated workspaces; absent for a plain
+  /// service.
   std::optional<uint64_t> cache_scope;
-  /// An engine to copy cached prefixes from.
+  /// The engine or store to copy cached prefixes from.
   std::optional<endpoint> cache_source;
-  /// Where to save computed prefixes.
+  /// The store to save computed prefixes to.
   std::optional<endpoint> cache_sink;
-  /// The weights that the upstream must have; empty for any.
+  /// The version of the weights that the upstream must have; empty for any.
   std::string weights_version;
-  /// Continue a stream after this event.
+  /// The identifier of the event after which to resume a stream.
   std::optional<std::string> last_event;
 };
 
-/// The load that an upstream tells with an answer.
+/// The load that an upstream reports with a response, in requests.
 struct reported_load {
   uint32_t running = 0;
   uint32_t waiting = 0;
 };
 
-/// What an upstream's head says.
+/// The fields of an upstream's response head.
 struct response_attributes {
-  /// The attempt that it answers; empty where it does not say.
+  /// The attempt that the response belongs to; empty if not stated.
   std::string attempt;
-  /// The upstream states that it did not run the request.
+  /// The upstream states that it did not execute the request.
   bool was_not_run = false;
-  /// It is not the upstream that was meant, or has other weights.
+  /// The upstream is not the intended one, or has other weights.
   bool is_mismatch = false;
-  /// An upstream made this answer.
+  /// The response carries an upstream's stamp, so an upstream made it.
   bool is_signed = false;
   std::optional<reported_load> load;
-  /// The rate that the upstream takes, where it is in need.
+  /// The rate limit that the upstream advertises while it is overloaded.
   limit_notice limit;
   backoff_notice backoff;
-  /// The upstream leaves: it is to get nothing new.
+  /// The upstream is shutting down and wants no new requests.
   bool is_leaving = false;
 };
 
-/// Translates heads. One object serves all requests.
+/// Translates message heads. Stateless: one object serves all requests.
 class edge_protocol {
  public:
   virtual ~edge_protocol() = default;
--- a/include/cuminswitch/Edge/edge_task.h
+++ b/include/cuminswitch/Edge/edge_task.h
@@ -31,11 +31,12 @@
 class event_log;
 class kernel;
 
-/// What the edge is told.
+/// A message to the edge task.
 using edge_message = fleet_event;
 
-/// Reads requests, lets the router decide, and carries its decisions out. The
-/// router runs in this task: a decision is a call, not a message.
+/// Reads requests, passes them to the router and carries out its decisions. The
+/// router runs in this task, so a decision is a function call and not a
+/// message.
 class edge_task : public loop_task<edge_message>,
                   public caller_handler,
                   public flow_owner,
@@ -43,15 +44,17 @@
  public:
   struct options {
     daemon_record self;
-    /// Repeats that the fleet may send to a service: a share of its requests,
-    /// and a number in each window.
+    /// Retries that the whole fleet may send to a service: a share of its
+    /// requests, plus a number in each window.
     double retry_share = 0.2;
     double retry_burst = 50;
-    /// How long engines with older weights may begin requests.
+    /// How long after the publication of a version engines with older weights
+    /// may begin requests.
     duration old_weights_time = std::chrono::seconds(6);
-    /// A stopping daemon has ended by then.
+    /// A stopping daemon exits within this time after the stop signal.
     duration grace = std::chrono::seconds(8);
-    /// Bytes that may be held for callers and upstreams; 0 for no limit.
+    /// Limit in bytes of the data buffered for callers and upstreams; 0 for no
+    /// limit.
     size_t buffer_limit = 0;
   };
   struct parts {
@@ -71,10 +74,12 @@
   void Start() override;
   void Stop() override;
 
-  /// Leaves the address answers, goes on serving, and ends in time.
+  /// Begins a graceful stop: removes this daemon from the advertised addresses,
+  /// serves the requests in flight, and calls `on_stopped` within the grace.
   void BeginStop();
   bool IsReady() const;
-  /// The callers' addresses of the daemons that take requests.
+  /// Returns the daemons that accept requests, including this one if it is
+  /// ready.
   std::vector<daemon_record> ListServing() const;
   std::string WriteMetrics() const;
 
@@ -85,9 +90,9 @@
   void OnRequest(caller_exchange& exchange) override;
   void OnFlowEvent(core_event event) override;
   void OnFlowFeedback(const request_flow& flow,
-                      const upstream_feedback& notices) override;
+                      const upstream_feedback& feedback) override;
   void OnFlowAttemptFailed(const request_flow& flow,
-                           attempt_result answer,
+                           attempt_result result,
                            uint32_t status) override;
   void OnConnectionLost(const endpoint& address) override;
   bool CanPlaceElsewhere(const request_flow& flow) override;
@@ -95,35 +100,40 @@
   const member* FindOwner(shard_number shard) const override;
   size_t CountServing() const override;
 
-  /// Takes in what an answer says of its upstream's limit.
-  void TakeLimit(const request_flow& flow, const limit_notice& notice);
-  /// Takes in for how long an upstream that refused wants nothing more.
-  void TakeRest(const request_flow& flow, const backoff_notice& notice);
-  /// Takes in that an upstream leaves.
-  void TakeLeaving(const request_flow& flow);
-  void Take(const fleet_snapshot_changed& news);
-  void Take(const upstreams_changed& news);
-  /// Brings the plan and the newest weights into force.
-  void ApplyPlan(time_point now, action_list& actions);
-  /// How many idle connections to \p to are this daemon's part of those that
-  /// the upstream takes from all; nothing for one that is not known.
+  /// Applies the rate limit that a response advertises.
+  void ApplyLimit(const request_flow& flow, const limit_notice& notice);
+  /// Applies the backoff that an upstream requested with a refusal.
+  void ApplyBackoff(const request_flow& flow, const backoff_notice& notice);
+  /// Stops sending new requests to an upstream that is shutting down.
+  void ApplyLeaving(const request_flow& flow);
+  void Handle(const fleet_snapshot_changed& update);
+  void Handle(const upstreams_changed& update);
+  /// Passes the routing configuration, with the newest weights versions, to the
+  /// router.
+  void ApplyRoutingConfig(time_point now, action_list& actions);
+  /// Returns this daemon's share of the idle connections that the upstream at
+  /// \p to accepts from all daemons, or nothing if the upstream is unknown.
   std::optional<size_t> IdleLimit(const endpoint& to) const;
-  /// Keeps the index of upstreams by address.
+  /// Updates the index of upstreams by address.
   void IndexAddress(const upstream_change& change);
-  /// Drops the connections to an upstream that has started again.
-  void ForgetRestarted(const upstream_change& change, revision_number revision);
-  void Take(const peers_changed& news);
-  void Take(const weights_changing& news);
-  void Take(const items_staleness& news) { is_stale_ = news.is_stale; }
-  void Take(const peer_placements& news);
-  void Take(const peer_limits& news);
-  void Take(const peer_quarantine& news);
-  void Take(const quota_query& ask);
-  void Take(const quota_reply& verdict);
-  /// Lets the peers know what this daemon's requests wait for.
-  void TellPlacements();
-
-  /// Answers what is not forwarded; returns the status that it got, or 0.
+  /// Drops the pooled connections and the rate limit of an upstream that has
+  /// restarted.
+  void ResetRestartedUpstream(const upstream_change& change,
+                              revision_number revision);
+  void Handle(const peers_changed& update);
+  void Handle(const weights_changing& update);
+  void Handle(const items_staleness& update) { is_stale_ = update.is_stale; }
+  void Handle(const peer_placements& update);
+  void Handle(const peer_limits& update);
+  void Handle(const peer_quarantine& update);
+  void Handle(const quota_query& query);
+  void Handle(const quota_reply& reply);
+  /// Sends the peers this daemon's backlog at each upstream, the prefixes that
+  /// it placed and the lengths of its prompts.
+  void ReportPlacements();
+
+  /// Finds the route and the workspace of \p request. Returns the status to
+  /// reject it with, or 0 if the request is accepted.
   uint32_t CheckRequest(const caller_request& request,
                         const route_spec*& route,
                         const workspace_config*& workspace) const;
@@ -131,76 +141,79 @@
                  caller_request request,
                  const route_spec& route,
                  const workspace_config* workspace);
-  /// Sends what the quotas have to say and carries out what they decided.
-  void SettleQuotas(time_point now);
-  void TellQuotasOfFleet(time_point now);
-  /// Sends what \p policy has to say to other daemons.
+  /// Sends the pending quota messages and applies the decisions made.
+  void ProcessQuotaDecisions(time_point now);
+  void UpdateQuotaFleet(time_point now);
+  /// Sends the pending messages of \p policy to other daemons.
   void SendQuotaMessages(quota_policy& policy);
-  void SettleQuota(time_point now, quota_admission::admission_result decided);
-  void HandToRouter(time_point now, const core_event& event);
+  void ApplyQuotaDecision(time_point now,
+                          quota_admission::admission_result decided);
+  void ForwardToRouter(time_point now, const core_event& event);
   void Perform(time_point now, const action_list& actions);
   void Perform(time_point now, const dispatch_attempt& action);
   void CancelAttempt(attempt_id attempt);
   request_flow* FindFlow(request_id id) const;
   void OnTick();
-  /// Tells the log that an upstream's limit is known, or has changed or ended.
+  /// Logs that an upstream's rate limit was added, changed or removed.
   void LogLimit(upstream_limits::change what,
                 uint64_t upstream,
                 std::string_view source);
   void ForgetLimit(const std::string& upstream);
-  /// Asks about the requests that wait for an upstream with a limit, and
-  /// carries out what is decided.
-  void SettleLimits(time_point now);
-  void TakeLimitAsk(time_point now, quota_query ask);
-  void SettleLimit(time_point now,
-                   const upstream_limit_admission::permit_result& decided);
-  /// Lets the peers know what upstreams told this daemon.
-  void TellLimits(time_point now);
-  /// Lets the peers and the store know which requests crash upstreams.
-  void TellQuarantine(time_point now);
-  /// Tells the log what changed about requests that crash upstreams.
+  /// Requests permits for the requests that wait for an upstream with a rate
+  /// limit, and applies the decisions made.
+  void ProcessLimitDecisions(time_point now);
+  void HandleLimitQuery(time_point now, quota_query query);
+  void ApplyLimitDecision(
+      time_point now,
+      const upstream_limit_admission::permit_result& decided);
+  /// Sends the peers the rate limits that upstreams advertised to this daemon.
+  void ReportLimits(time_point now);
+  /// Sends the peers and the store the requests that crash upstreams.
+  void ReportQuarantine(time_point now);
+  /// Logs the changes to the set of requests that crash upstreams.
   void LogQuarantines();
-  /// Ends the limits that no answer has renewed for long.
+  /// Removes the rate limits that no response has renewed recently.
   void ExpireLimits(time_point now);
-  /// Tells the log when so much is held that requests are refused, and when no
-  /// more.
+  /// Logs how many requests were refused since the last call because the buffer
+  /// limit was reached.
   void LogHeldBytes();
-  /// Tells the log when engines begin to be kept for short prompts, or cease.
-  void LogKeptEngines();
+  /// Logs when the reservation of engines for short prompts begins or ends.
+  void LogReservedEngines();
   void OnStopTick();
 
   const kernel& services_;
   options options_;
   parts with_;
   request_router router_;
-  byte_account held_;
+  byte_account buffer_account_;
   upstream_pool pool_;
   std::unique_ptr<caller_server> server_;
   loop_timer tick_timer_;
   loop_timer stop_timer_;
-  std::shared_ptr<const fleet_snapshot> knowledge_;
+  std::shared_ptr<const fleet_snapshot> snapshot_;
   std::map<endpoint, upstream_ref> upstreams_by_address_;
-  weights_version_counter held_weights_;
+  weights_version_counter weights_counter_;
   size_t unreadable_upstreams_ = 0;
   bool is_stale_ = false;
   std::vector<daemon_record> peers_;
-  std::vector<std::string> changing_;
-  std::vector<upstream_backlog> told_backlogs_;
+  std::vector<std::string> changing_upstreams_;
+  std::vector<upstream_backlog> reported_backlogs_;
   size_t fleet_size_ = 1;
-  size_t maybe_at_work_ = 1;
-  duration notice_time_{0};
-  /// Peers do not hear all others, so each passes on what it is told.
-  bool passes_on_ = false;
-  bool has_gathered_ = false;
-  /// What the log was last told.
-  bool kept_engines_ = false;
-  uint64_t told_refused_ = 0;
+  size_t possibly_active_ = 1;
+  duration convergence_time_{0};
+  /// Each peer receives heartbeats from only some of the others, so updates of
+  /// peers are relayed.
+  bool relays_updates_ = false;
+  bool has_warmed_up_ = false;
+  /// The values that were last logged.
+  bool logged_reserved_engines_ = false;
+  uint64_t logged_refused_count_ = 0;
   std::unordered_map<request_id, std::unique_ptr<request_flow>> flows_;
   request_id next_request_ = 0;
   quota_admission quotas_;
   upstream_limit_admission limits_;
-  bool told_limits_ = false;
-  bool told_quarantine_ = false;
+  bool reported_limits_ = false;
+  bool reported_crashes_ = false;
   edge_metrics metrics_;
   graceful_stop stop_;
   time_point started_at_;
--- a/include/cuminswitch/Edge/event_splitter.h
+++ b/include/cuminswitch/Edge/event_splitter.h
@@ -1,5 +1,5 @@
 /// \file
-/// Splits a stream into whole events.
+/// Splits a stream into complete events.
 #ifndef CUMINSWITCH_EDGE_EVENT_SPLITTER_H_
 #define CUMINSWITCH_EDGE_EVENT_SPLITTER_H_
 
@@ -10,27 +10,27 @@
 
 namespace cuminswitch {
 
-/// Holds back what is not a whole event yet. An upstream may stop in the
-/// middle of one; what was held back is then forgotten, and the stream can go
-/// on elsewhere after the last whole event.
+/// Buffers an event until it is complete. If an upstream fails in the middle of
+/// one, the buffered part is dropped and another upstream can resume the stream
+/// after the last complete event.
 class event_splitter {
  public:
-  /// Adds bytes and returns the events that are now whole, as they came. The
-  /// text is valid until the next call.
+  /// Appends bytes and returns the events that are now complete, unchanged. The
+  /// returned text is valid until the next call.
   std::string_view Add(std::string_view data);
-  /// Forgets a part of an event.
+  /// Drops a buffered incomplete event.
   void DropPartial();
-  /// Returns the rest of the stream, which ended in good order.
-  std::string_view TakeRest();
-  /// The id of the last whole event.
+  /// Returns the bytes left when the stream has ended normally.
+  std::string_view ApplyBackoff();
+  /// The identifier of the last complete event that had one.
   const std::optional<std::string>& last_id() const { return last_id_; }
 
  private:
-  void ReadIds(std::string_view events);
+  void ParseIds(std::string_view events);
 
   std::string buffer_;
-  /// Bytes of the buffer that were returned by the last call.
-  size_t taken_ = 0;
+  /// Length in bytes of the front of the buffer that the last call returned.
+  size_t returned_ = 0;
   std::optional<std::string> last_id_;
 };
 
--- a/include/cuminswitch/Edge/graceful_stop.h
+++ b/include/cuminswitch/Edge/graceful_stop.h
@@ -1,5 +1,5 @@
 /// \file
-/// How a daemon that was told to stop comes to its end.
+/// The graceful stop of a daemon.
 #ifndef CUMINSWITCH_EDGE_GRACEFUL_STOP_H_
 #define CUMINSWITCH_EDGE_GRACEFUL_STOP_H_
 
@@ -9,24 +9,24 @@
 
 namespace cuminswitch {
 
-/// Decides what a stopping daemon still takes, and when it has nothing left to
-/// do. It is out of the address answers at once, but callers keep an answer for
-/// some seconds and go on to connect.
+/// Decides which requests a stopping daemon still accepts, and when the process
+/// may exit. The daemon's address is no longer advertised from the beginning of
+/// the stop, but callers cache addresses for some seconds and still connect.
 class graceful_stop {
  public:
-  /// \p grace is the time from the signal to the process's forced end.
+  /// \p grace is the time from the stop signal until the process is killed.
   explicit graceful_stop(duration grace) : grace_(grace) {}
 
   void Begin(time_point now);
   bool HasBegun() const { return has_begun_; }
-  /// Whether a request that arrives now can be seen to its end, where its
-  /// caller waits for \p patience at most.
-  bool CanAccept(time_point now, duration patience) const;
-  /// Whether no caller can still hold an address answer that names this daemon.
-  bool IsForgotten(time_point now) const;
-  /// Whether the process may end, with \p requests under way and
+  /// Whether a request that arrives now is accepted; its caller waits for
+  /// \p max_wait at most.
+  bool CanAccept(time_point now, duration max_wait) const;
+  /// Whether no caller can still have this daemon's address cached.
+  bool HasAddressExpired(time_point now) const;
+  /// Whether the process may exit, with \p requests in flight and
   /// \p connections of callers open.
-  bool IsOver(time_point now, size_t requests, size_t connections) const;
+  bool IsComplete(time_point now, size_t requests, size_t connections) const;
 
  private:
   duration grace_;
--- a/include/cuminswitch/Edge/quota_admission.h
+++ b/include/cuminswitch/Edge/quota_admission.h
@@ -1,5 +1,5 @@
 /// \file
-/// Where requests wait to hear whether they are within their quota.
+/// Holds requests until it is decided whether they are within their quota.
 #ifndef CUMINSWITCH_EDGE_QUOTA_ADMISSION_H_
 #define CUMINSWITCH_EDGE_QUOTA_ADMISSION_H_
 
@@ -16,37 +16,40 @@
 
 namespace cuminswitch {
 
-/// What a daemon did about one workspace's quota.
+/// A daemon's counters for one workspace's quota.
 struct quota_counts {
   uint64_t admitted = 0;
   uint64_t refused = 0;
-  /// Units of admitted requests that turned out not to have run.
-  double given_back = 0;
-  /// As last heard: the limit, what was left of it, and how old that was.
+  /// Units of admitted requests that were not executed.
+  double refunded = 0;
+  /// Of the last decision: the limit, the units left, and the age of that
+  /// level.
   quota_limit limit;
   double level = 0;
   duration age{0};
 };
 
-/// Weighs each request once, asks the policy about it, charges each of its runs
-/// at an upstream, and gives back what is known not to have run.
+/// Determines the weight of each request, submits the request to the quota
+/// policy, charges each execution at an upstream, and refunds the charges for
+/// executions that are known not to have happened.
 class quota_admission {
  public:
-  /// A request about which it was decided.
+  /// A request with the decision about it.
   struct admission_result {
     request_arrived arrival;
-    quota_request item;
+    quota_request request;
     quota_decision decision;
   };
-  /// A request before its decision.
+  /// A request to decide about.
   struct admission_query {
     request_arrived arrival;
     const quota_config& quota;
-    /// Of the configuration that holds the quota.
+    /// Version of the configuration that contains the quota.
     uint64_t version = 0;
-    /// Tokens that it reads and may write; 0 where it does not say.
+    /// Prompt tokens plus maximum output tokens; 0 if the request states none.
     uint64_t tokens = 0;
-    /// Of what is asked for, so that a caller's repeat is known.
+    /// Digest of the request, by which a caller's repeated request is
+    /// recognised.
     uint64_t digest = 0;
     duration time_left{0};
   };
@@ -55,24 +58,24 @@
       : policy_(std::move(policy)) {}
 
   quota_policy& policy() { return *policy_; }
-  void Ask(time_point now, const admission_query& asked);
-  /// Returns the requests that were decided about since the last call.
+  void Submit(time_point now, const admission_query& query);
+  /// Returns the requests decided since the last call.
   std::vector<admission_result> TakeDecided();
-  /// The request has \p runs runs that may count; further ones are charged.
+  /// Charges the executions of the request up to \p runs that are not charged
+  /// yet.
   void OnRuns(time_point now, request_id id, uint32_t runs);
-  /// The request ended after \p runs runs; what was charged beyond is given
-  /// back.
+  /// The request ended after \p runs executions; refunds those charged beyond.
   void OnEnd(time_point now, request_id id, uint32_t runs);
   const std::map<std::string, quota_counts>& counts() const { return counts_; }
 
  private:
   struct waiting_request {
     request_arrived arrival;
-    quota_request item;
+    quota_request request;
   };
   struct charged_request {
     std::string workspace;
-    quota_request item;
+    quota_request request;
     uint32_t runs = 0;
   };
 
--- a/include/cuminswitch/Edge/request_flow.h
+++ b/include/cuminswitch/Edge/request_flow.h
@@ -1,5 +1,5 @@
 /// \file
-/// The I/O of one caller's request.
+/// Performs the I/O of one caller's request.
 #ifndef CUMINSWITCH_EDGE_REQUEST_FLOW_H_
 #define CUMINSWITCH_EDGE_REQUEST_FLOW_H_
 
@@ -26,55 +26,60 @@
 class request_flow;
 class upstream_pool;
 
-/// How a request ended for its caller, for logs and counts.
+/// How a request ended for its caller, for the log and the metrics.
 struct flow_result {
   outcome result = outcome::kUnknown;
-  /// 0 when the connection was cut.
+  /// HTTP status; 0 if the caller's connection was closed instead.
   uint32_t status = 0;
   std::string_view reason;
-  /// When the caller was told to come back; 0 where it was told nothing.
+  /// The value of `Retry-After` in the response; 0 if it has none.
   duration retry_after{0};
-  /// What a refusal for lateness was decided from; null for other ends.
+  /// The estimate behind a refusal because the response would be late; null for
+  /// other results.
   const expected_wait* wait = nullptr;
 };
 
-/// Takes what a flow has to tell. A flow may be destroyed only from the loop.
+/// Receives the events of a flow. A flow may not be destroyed within one of
+/// these calls, only from the event loop.
 class flow_owner {
  public:
   virtual ~flow_owner() = default;
   virtual void OnFlowEvent(core_event event) = 0;
-  /// The upstream of the present attempt said something of itself.
+  /// The upstream of the current attempt sent a response head.
   virtual void OnFlowFeedback(const request_flow& flow,
-                              const upstream_feedback& notices) = 0;
-  /// An attempt ended otherwise than with success.
+                              const upstream_feedback& feedback) = 0;
+  /// An attempt ended without success.
   virtual void OnFlowAttemptFailed(const request_flow& flow,
-                                   attempt_result answer,
+                                   attempt_result result,
                                    uint32_t status) = 0;
-  /// A connection to \p address broke; others to it may be dead too.
+  /// A connection to \p address was lost or stalled; other connections to it
+  /// may be broken too.
   virtual void OnConnectionLost(const endpoint& address) = 0;
-  /// Whether a request whose upstream is silent could go to another one now.
+  /// Whether a request whose upstream is unresponsive can be retried at another
+  /// one now.
   virtual bool CanPlaceElsewhere(const request_flow& flow) = 0;
   virtual void OnFlowEnd(request_flow& flow, const flow_result& end) = 0;
 };
 
-/// Carries out what the router decides about one request: sends attempts, and
-/// brings the caller an answer that is whole, or visibly is not.
+/// Carries out the router's decisions about one request: sends attempts to
+/// upstreams, and sends the caller a response that is either complete or
+/// recognisably truncated.
 class request_flow : private caller_listener, private upstream_handler {
  public:
   struct options {
     request_id id = 0;
     caller_exchange* exchange = nullptr;
     caller_request request;
-    /// Kept alive with the flow.
-    std::shared_ptr<const routing_config> plan;
+    /// The configuration that `route` points into.
+    std::shared_ptr<const routing_config> config;
     const route_spec* route = nullptr;
     std::string workspace;
     uint32_t rank = 0;
     bool uses_cache = false;
-    /// Of what its caller sends again with each attempt.
+    /// Digest that all attempts of the caller for one request share.
     hash128 digest;
     time_point arrived{};
-    /// When the request is given up on.
+    /// When the request times out.
     time_point deadline{};
   };
   struct parts {
@@ -87,32 +92,33 @@
   request_flow(options opts, const parts& with);
   ~request_flow() override;
 
-  /// Begins to wait for the deadline and the caller.
+  /// Starts the deadline timer and listens to the caller's connection.
   void Start();
   void Dispatch(time_point now, const dispatch_attempt& action);
-  /// The router has no further upstream for it.
+  /// Ends the request as the router, which has no further upstream for it,
+  /// decided.
   void GiveUp(const local_response& action);
-  /// Stops the present attempt.
+  /// Stops the current attempt. The request counts as possibly executed.
   void CancelAttempt();
 
   request_id id() const { return options_.id; }
   attempt_id attempt() const { return attempt_; }
-  /// Attempts that ran, or may have run.
+  /// Attempts that the upstream executed or may have executed.
   uint32_t runs() const { return runs_; }
   time_point deadline() const { return options_.deadline; }
   bool has_ended() const { return has_ended_; }
   const caller_request& request() const { return options_.request; }
-  const routing_config& plan() const { return *options_.plan; }
+  const routing_config& config() const { return *options_.config; }
   const route_spec& route() const { return *options_.route; }
   const std::string& workspace() const { return options_.workspace; }
   const hash128& digest() const { return options_.digest; }
   const std::string& upstream() const { return upstream_; }
   time_point arrived() const { return options_.arrived; }
-  /// When the present attempt was sent.
+  /// When the current attempt was sent.
   time_point sent_at() const { return sent_at_; }
   std::optional<time_point> first_byte_at() const { return first_byte_at_; }
-  /// Between two pieces that went to the caller.
-  duration longest_pause() const { return longest_pause_; }
+  /// The longest time between two pieces of the response sent to the caller.
+  duration longest_event_gap() const { return longest_event_gap_; }
 
  private:
   void OnCallerGone() override;
@@ -122,26 +128,28 @@
   void OnCallEnd(upstream_call_result end) override;
 
   void OnDeadline();
-  /// The upstream has been silent for long.
+  /// The upstream sent no bytes within the stall timeout.
   void OnStall();
-  void AwaitBytes();
-  /// After how long a silent upstream is left for another.
-  duration StallTime() const;
+  void RestartStallTimer();
+  /// Returns the time without bytes after which the request is retried at
+  /// another upstream.
+  duration StallTimeout() const;
   attempt_result Classify(upstream_call_result end) const;
-  void Judge(attempt_result answer);
-  void TellRouter(attempt_result answer, const attempt_disposition& verdict);
+  void ProcessAttemptResult(attempt_result result);
+  void ReportAttemptEnd(attempt_result result,
+                        const attempt_disposition& disposition);
   bool IsForwarding() const;
   void Forward(std::string_view data);
-  void SendAnswerHead(std::optional<uint64_t> length);
-  void DeliverWhole();
-  void DeliverKept();
-  /// Answers in this daemon's own name, as \p end says.
-  void ReplyOwn(const flow_result& end);
-  void CutOff(std::string_view reason);
+  void SendResponseHead(std::optional<uint64_t> length);
+  void SendCompleteResponse();
+  void SendRetainedFailure();
+  /// Sends a response made by this daemon, as \p end states.
+  void ReplyLocally(const flow_result& end);
+  void AbortResponse(std::string_view reason);
   void End(const flow_result& end);
 
-  /// An answer of the present attempt.
-  struct answer_state {
+  /// The response to an attempt.
+  struct response_state {
     message_head head;
     response_attributes attributes;
     std::string body;
@@ -157,15 +165,16 @@
   endpoint address_;
   uint32_t attempts_ = 0;
   uint32_t runs_ = 0;
-  duration usual_first_byte_{0};
+  duration mean_first_byte_{0};
   std::unique_ptr<upstream_call> call_;
-  answer_state answer_;
-  /// A failure that the caller gets if no other attempt succeeds.
-  std::optional<answer_state> kept_failure_;
+  response_state response_;
+  /// A failure response that is sent to the caller if no other attempt
+  /// succeeds.
+  std::optional<response_state> retained_failure_;
   event_splitter splitter_;
   std::optional<time_point> first_byte_at_;
   time_point forwarded_at_{};
-  duration longest_pause_{0};
+  duration longest_event_gap_{0};
   bool is_head_sent_ = false;
   bool is_paused_ = false;
   bool has_ended_ = false;
--- a/include/cuminswitch/Edge/request_log.h
+++ b/include/cuminswitch/Edge/request_log.h
@@ -1,5 +1,5 @@
 /// \file
-/// The log lines of one request's life.
+/// The log lines of one request.
 #ifndef CUMINSWITCH_EDGE_REQUEST_LOG_H_
 #define CUMINSWITCH_EDGE_REQUEST_LOG_H_
 
@@ -19,27 +19,27 @@
 struct quota_decision;
 struct quota_request;
 
-/// Where an attempt goes, and what decided that.
+/// Describes the placement of an attempt and the figures behind the choice.
 log_line DescribePlacement(time_point now,
                            const request_flow& flow,
                            const dispatch_attempt& action);
-/// That an attempt ended otherwise than with success.
+/// Describes an attempt that ended without success.
 log_line DescribeAttemptFailure(const request_flow& flow,
-                                attempt_result answer,
+                                attempt_result result,
                                 uint32_t status);
-/// How a request ended for its caller; of a refusal for lateness, from what it
-/// was decided.
+/// Describes how a request ended for its caller. For a refusal because the
+/// response would be late, includes the estimate behind it.
 log_line DescribeEnd(time_point now,
                      const request_flow& flow,
                      const flow_result& end);
-/// That a request is over its workspace's quota, and what that was decided
-/// from.
+/// Describes the refusal of a request over its workspace's quota and the
+/// figures behind the decision.
 log_line DescribeQuotaRefusal(const request_flow& flow,
-                              const quota_request& item,
+                              const quota_request& request,
                               const quota_decision& decision);
 
-/// Whether an upstream that names a limit takes a request now, and what that
-/// was decided from.
+/// Describes whether a request got a permit for an upstream with a rate limit,
+/// and the figures behind the decision.
 log_line DescribePermit(const request_flow& flow,
                         std::string_view upstream,
                         const upstream_limit_admission::permit_result& decided);
--- a/include/cuminswitch/Edge/retry_after.h
+++ b/include/cuminswitch/Edge/retry_after.h
@@ -1,5 +1,5 @@
 /// \file
-/// The field that tells a caller when to come back.
+/// The response header that tells a caller when to retry.
 #ifndef CUMINSWITCH_EDGE_RETRY_AFTER_H_
 #define CUMINSWITCH_EDGE_RETRY_AFTER_H_
 
@@ -8,7 +8,7 @@
 
 namespace cuminswitch {
 
-/// Returns `Retry-After` with \p wait in seconds, to the hundredth.
+/// Returns `Retry-After` with \p wait in seconds, rounded to hundredths.
 http_header RetryAfter(duration wait);
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Edge/router_settings.h
+++ b/include/cuminswitch/Edge/router_settings.h
@@ -1,5 +1,5 @@
 /// \file
-/// How the router is set up on the platform.
+/// Derives the router's options from the platform's settings.
 #ifndef CUMINSWITCH_EDGE_ROUTER_SETTINGS_H_
 #define CUMINSWITCH_EDGE_ROUTER_SETTINGS_H_
 
@@ -9,21 +9,22 @@
 
 namespace cuminswitch {
 
-/// What the platform's settings say that the router depends on.
+/// The platform's settings that the router depends on.
 struct router_settings {
   daemon_record self;
-  /// Repeats that the whole fleet may make, as a share of requests, and beyond
-  /// that in any window.
+  /// Retries that the whole fleet may send: a share of the requests, plus a
+  /// number in each window.
   double retry_share = 0;
   double retry_burst = 0;
-  /// How long after a naming requests may begin on older weights.
+  /// How long after the publication of a version requests may begin on older
+  /// weights.
   duration old_weights_time{0};
   /// When the daemon starts.
   time_point now{};
 };
 
-/// Keeps margins to the platform's bounds, for what other daemons do meanwhile
-/// and for news that come late.
+/// Returns the router's options. They keep a margin to the platform's bounds,
+/// for concurrent actions of other daemons and for updates that arrive late.
 request_router::options MakeRouterOptions(const router_settings& opts);
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Edge/routing_config_translator.h
+++ b/include/cuminswitch/Edge/routing_config_translator.h
@@ -1,5 +1,5 @@
 /// \file
-/// From what is known of a deployment to the router's configuration.
+/// Translates a snapshot of the deployment into the router's configuration.
 #ifndef CUMINSWITCH_EDGE_ROUTING_CONFIG_TRANSLATOR_H_
 #define CUMINSWITCH_EDGE_ROUTING_CONFIG_TRANSLATOR_H_
 
@@ -16,24 +16,24 @@
 
 class weights_version_counter;
 
-/// The router's name for a model at a service, or for the service itself where
-/// \p model is empty. Two services may serve one model, each with its own
-/// upstreams.
+/// Returns the router's name for \p model at \p service, or for the service
+/// itself where \p model is empty. Two services may serve the same model, each
+/// with its own upstreams.
 std::string TargetName(std::string_view service, std::string_view model);
 
-/// Builds the router's configuration but for its upstreams. The plan must be
-/// known. A model's version is the newest of those named and of those that
-/// \p held says upstreams have: that an upstream has one only shows that its
-/// naming is known there and not yet here.
+/// Builds the router's configuration, without the upstreams. \p snapshot must
+/// contain a routing config. A model's version is the newest of the published
+/// ones and of those that upstreams have according to \p counter: an upstream
+/// with a newer version has received its publication before this daemon.
 std::shared_ptr<const configuration> TranslateRoutingConfig(
-    const fleet_snapshot& knowledge,
-    const weights_version_counter& held);
+    const fleet_snapshot& snapshot,
+    const weights_version_counter& counter);
 
-/// The upstream as the router knows it; its report is what the router would
-/// have learnt by asking.
+/// Translates an upstream's store entry. The report in it replaces the one that
+/// the router would get from a probe.
 upstream_update TranslateUpstream(const upstream_entry& entry);
 
-/// How urgent requests of \p rank are.
+/// Returns the router's priority class for \p rank; 0 is the most urgent.
 priority_class TranslateRank(uint32_t rank);
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Edge/upstream_feedback.h
+++ b/include/cuminswitch/Edge/upstream_feedback.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which notices of an upstream's answer count.
+/// Selects the trustworthy fields of a response about its upstream.
 #ifndef CUMINSWITCH_EDGE_UPSTREAM_FEEDBACK_H_
 #define CUMINSWITCH_EDGE_UPSTREAM_FEEDBACK_H_
 
@@ -10,21 +10,21 @@
 
 namespace cuminswitch {
 
-/// What is to be believed of what an answer says of its upstream.
+/// The trusted information that a response carries about its upstream.
 struct upstream_feedback {
   std::optional<reported_load> load;
-  /// The upstream's limit, or that it has none.
+  /// The upstream's rate limit; of kind `kNone` if it has none.
   std::optional<limit_notice> limit;
-  /// For how long the upstream wants nothing more.
+  /// How long the upstream wants no requests.
   std::optional<backoff_notice> backoff;
   bool is_leaving = false;
-  /// The upstream runs the request, so it lives.
+  /// The upstream executes the request, so it is alive.
   bool has_run = false;
 };
 
-/// Chooses what counts of \p said, the head of an answer on the connection of
-/// the attempt \p attempt.
-upstream_feedback SelectFeedback(const response_attributes& said,
+/// Selects the trusted fields of \p attributes, from the head of a response on
+/// the connection of the attempt \p attempt.
+upstream_feedback SelectFeedback(const response_attributes& attributes,
                                  std::string_view attempt);
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Edge/upstream_limit_admission.h
+++ b/include/cuminswitch/Edge/upstream_limit_admission.h
@@ -1,5 +1,5 @@
 /// \file
-/// Where requests wait to hear whether an upstream with a limit takes them.
+/// Holds requests until they get a permit for an upstream with a rate limit.
 #ifndef CUMINSWITCH_EDGE_UPSTREAM_LIMIT_ADMISSION_H_
 #define CUMINSWITCH_EDGE_UPSTREAM_LIMIT_ADMISSION_H_
 
@@ -13,38 +13,41 @@
 
 namespace cuminswitch {
 
-/// Asks the owners of upstreams' limits about requests. A limit is a quota of
-/// all daemons together at one upstream, counted in requests.
+/// Requests permits from the owners of upstreams' rate limits. A rate limit is
+/// a quota of all daemons together at one upstream, counted in requests.
 ///
-/// Owners keep turns for daemons, not for requests: one that was turned away
-/// and has requests that can go nowhere else is told when it may come again,
-/// with whatever request is then first.
+/// Owners assign send slots to daemons, not to requests: a daemon that is
+/// denied a permit, and has requests that no other upstream can accept, gets
+/// the time of its next send slot, which it uses for whichever request is then
+/// first.
 class upstream_limit_admission {
  public:
-  /// An answer, and what decided it.
+  /// A permit request with the decision about it.
   struct permit_result {
-    permit_request request;
+    permit_request permit;
     quota_decision decision;
 
-    permit_reply Answer() const;
+    permit_reply ToReply() const;
   };
-  /// Since the daemon's start.
+  /// Counters since the daemon's start.
   struct counts {
     uint64_t granted = 0;
-    /// Sent elsewhere, or told to wait.
+    /// The request was sent to another upstream, or had to wait.
     uint64_t denied = 0;
+    /// Permits that were granted and released again.
     uint64_t unused = 0;
   };
 
-  /// \p turn names this daemon at the owners.
-  upstream_limit_admission(std::unique_ptr<quota_policy> policy, uint64_t turn)
-      : policy_(std::move(policy)), turn_(turn) {}
+  /// \p requester_id identifies this daemon to the owners.
+  upstream_limit_admission(std::unique_ptr<quota_policy> policy,
+                           uint64_t requester_id)
+      : policy_(std::move(policy)), requester_id_(requester_id) {}
 
   quota_policy& policy() { return *policy_; }
-  void Ask(time_point now, const permit_request& question);
-  /// A granted request was not sent.
-  void Return(time_point now, const permit_return& unused);
-  /// Returns what was decided since the last call.
+  void Submit(time_point now, const permit_request& request);
+  /// Releases a granted permit that was not used.
+  void Release(time_point now, const permit_return& unused);
+  /// Returns the permit requests decided since the last call.
   std::vector<permit_result> TakeDecided();
   const counts& totals() const { return totals_; }
 
@@ -52,9 +55,9 @@
   quota_request MakeRequest(uint64_t upstream, double rate) const;
 
   std::unique_ptr<quota_policy> policy_;
-  uint64_t turn_;
-  /// Apart from those of workspaces' quotas: an answer of a daemon that knows
-  /// only these must not be taken for one to such a question.
+  uint64_t requester_id_;
+  /// Distinct from the tickets of workspaces' quotas: a daemon that supports
+  /// only those must not have its reply matched to a permit request.
   static constexpr uint64_t kFirstTicket = uint64_t{1} << 62;
   uint64_t next_ticket_ = kFirstTicket;
   std::unordered_map<uint64_t, permit_request> waiting_;
--- a/include/cuminswitch/Edge/weights_version_counter.h
+++ b/include/cuminswitch/Edge/weights_version_counter.h
@@ -1,5 +1,5 @@
 /// \file
-/// Which versions of which models upstreams hold.
+/// Tracks which versions of models' weights the upstreams have.
 #ifndef CUMINSWITCH_EDGE_WEIGHTS_VERSION_COUNTER_H_
 #define CUMINSWITCH_EDGE_WEIGHTS_VERSION_COUNTER_H_
 
@@ -14,14 +14,14 @@
 
 namespace cuminswitch {
 
-/// Counts the upstreams with each version, one change at a time.
+/// Counts the upstreams with each version of each model, updated incrementally.
 class weights_version_counter {
  public:
-  void Add(std::span<const weights_version> held);
-  void Remove(std::span<const weights_version> held);
-  /// The newest version of \p model that any upstream has; 0 for none.
+  void Add(std::span<const weights_version> weights);
+  void Remove(std::span<const weights_version> weights);
+  /// Returns the newest version of \p model that any upstream has; 0 for none.
   uint64_t Newest(std::string_view model) const;
-  /// How often the newest version of any model became another one.
+  /// Number of times the newest version of any model has changed.
   uint64_t newest_changes() const { return newest_changes_; }
 
  private:
--- a/lib/Edge/arrival_translator.cc
+++ b/lib/Edge/arrival_translator.cc
@@ -10,7 +10,8 @@
 
 namespace cuminswitch {
 
-/// Chooses among a route's services by weight, the same for one attempt.
+/// Chooses among a route's services by weight; the choice depends only on
+/// \p attempt.
 static const std::string& ChooseService(const route_spec& route,
                                         std::string_view attempt) {
   uint64_t total = 0;
@@ -27,7 +28,8 @@
   return route.shares.front().service;
 }
 
-/// Each level is the prompt up to the end of one part.
+/// Returns the prompt's prefix levels; each is the prompt up to the end of one
+/// part.
 static std::vector<prefix_level> MakeLevels(
     const std::vector<prompt_part>& parts) {
   std::vector<prefix_level> levels;
@@ -57,8 +59,8 @@
                                 const workspace_config* workspace) {
   const route_spec& route = *flow.route;
   const std::string& service = ChooseService(route, flow.request.attempt);
-  const service_config* plan = flow.plan->FindService(service);
-  const bool is_engine = plan != nullptr && plan->is_engine;
+  const service_config* config = flow.config->FindService(service);
+  const bool is_engine = config != nullptr && config->is_engine;
   request_arrived arrival{
       .request = flow.id,
       .workspace = flow.workspace,
@@ -79,20 +81,20 @@
   return arrival;
 }
 
-quota_admission::admission_query DescribeQuotaQuestion(
-    time_point now,
-    const request_flow& flow,
-    const quota_config& quota,
-    request_arrived arrival) {
+quota_admission::admission_query DescribeQuotaQuery(time_point now,
+                                                    const request_flow& flow,
+                                                    const quota_config& quota,
+                                                    request_arrived arrival) {
   const caller_request& request = flow.request();
-  // A caller's repeat has another name, and is the same in all the rest.
+  // The attempt's identifier is left out, since it is new with each retry of
+  // the caller.
   uint64_t digest = Hash64(request.path, Hash64(request.credential));
   for (const prefix_level& level : arrival.levels) {
     digest = CombineHash(digest, level.hash);
   }
   return {.arrival = std::move(arrival),
           .quota = quota,
-          .version = flow.plan().version,
+          .version = flow.config().version,
           .tokens = uint64_t{request.prompt_tokens} + request.max_output_tokens,
           .digest = digest,
           .time_left = flow.deadline() - now};
--- a/lib/Edge/attempt_disposition.cc
+++ b/lib/Edge/attempt_disposition.cc
@@ -24,15 +24,16 @@
   return "foreign";
 }
 
-attempt_disposition ClassifyAttempt(attempt_result answer,
+attempt_disposition ClassifyAttempt(attempt_result result,
                                     response_progress progress,
                                     bool may_repeat) {
   const bool has_begun = progress == response_progress::kBegun;
-  switch (answer) {
+  switch (result) {
     case attempt_result::kSuccess:
       return {.result = outcome::kAnswered, .action = attempt_action::kForward};
     case attempt_result::kFailure:
-      // It ran. A failure in the middle of an answer cannot be shown.
+      // The request was executed. After the head of a success response was
+      // sent, a failure cannot be reported, so the response is aborted.
       if (may_repeat) {
         return {.result = outcome::kUnknown,
                 .action = has_begun ? attempt_action::kRetry
--- a/lib/Edge/edge_arrivals.cc
+++ b/lib/Edge/edge_arrivals.cc
@@ -1,4 +1,4 @@
-// How the edge takes a caller's request in.
+// Accepts or rejects the requests of callers.
 #include <algorithm>
 #include <memory>
 #include <string>
@@ -13,33 +13,34 @@
 
 namespace cuminswitch {
 
-/// When to come back to a daemon that knows no configuration yet.
-static constexpr duration kStartRetryAfter = std::chrono::milliseconds(500);
-/// When to come back where this daemon stops, to another one.
-static constexpr duration kElsewhereRetryAfter = std::chrono::milliseconds(50);
-static constexpr duration kDefaultPatience = std::chrono::seconds(60);
+/// `Retry-After` of a daemon that has no routing config yet.
+static constexpr duration kStartupRetryAfter = std::chrono::milliseconds(500);
+/// `Retry-After` of a stopping daemon; the caller retries at another one.
+static constexpr duration kStoppingRetryAfter = std::chrono::milliseconds(50);
+/// The wait assumed for a caller that states none.
+static constexpr duration kDefaultMaxWait = std::chrono::seconds(60);
 
-static duration PatienceOf(const caller_request& request,
-                           const route_spec& route) {
-  return std::min<duration>(request.max_wait.value_or(kDefaultPatience),
+static duration MaxWait(const caller_request& request,
+                        const route_spec& route) {
+  return std::min<duration>(request.max_wait.value_or(kDefaultMaxWait),
                             route.timeout);
 }
 
 uint32_t edge_task::CheckRequest(const caller_request& request,
                                  const route_spec*& route,
                                  const workspace_config*& workspace) const {
-  if (knowledge_ == nullptr || knowledge_->plan == nullptr) {
+  if (snapshot_ == nullptr || snapshot_->plan == nullptr) {
     return status_code::kUnavailable;
   }
-  const routing_config& plan = *knowledge_->plan;
-  route = plan.FindRoute(request.host, request.path);
+  const routing_config& config = *snapshot_->plan;
+  route = config.FindRoute(request.host, request.path);
   if (route == nullptr) {
     return status_code::kNotFound;
   }
-  if (plan.workspaces.empty() || route->is_public) {
+  if (config.workspaces.empty() || route->is_public) {
     return 0;
   }
-  workspace = plan.FindWorkspace(request.credential);
+  workspace = config.FindWorkspace(request.credential);
   return workspace == nullptr ? status_code::kUnauthorized : 0;
 }
 
@@ -49,7 +50,7 @@
   const workspace_config* workspace = nullptr;
   uint32_t status = CheckRequest(request, route, workspace);
   if (status == 0 &&
-      !stop_.CanAccept(ReadBootClock(), PatienceOf(request, *route))) {
+      !stop_.CanAccept(ReadBootClock(), MaxWait(request, *route))) {
     status = status_code::kUnavailable;
   }
   if (status == 0) {
@@ -57,9 +58,9 @@
     return;
   }
   metrics_.CountRejected(status);
-  const uint64_t version = knowledge_ == nullptr || knowledge_->plan == nullptr
+  const uint64_t version = snapshot_ == nullptr || snapshot_->plan == nullptr
                                ? 0
-                               : knowledge_->plan->version;
+                               : snapshot_->plan->version;
   with_.log.Write(log_class::kRequest, log_line("request_rejected")
                                            .Add("id", request.attempt)
                                            .Add("host", request.host)
@@ -68,8 +69,8 @@
                                            .Add("configuration", version));
   http_headers headers;
   if (status == status_code::kUnavailable) {
-    headers.push_back(
-        RetryAfter(stop_.HasBegun() ? kElsewhereRetryAfter : kStartRetryAfter));
+    headers.push_back(RetryAfter(stop_.HasBegun() ? kStoppingRetryAfter
+                                                  : kStartupRetryAfter));
   }
   Reply(exchange, status, headers, {}, false);
 }
@@ -79,12 +80,12 @@
                           const route_spec& route,
                           const workspace_config* workspace) {
   const time_point now = ReadBootClock();
-  const duration patience = PatienceOf(request, route);
+  const duration max_wait = MaxWait(request, route);
   request_flow::options options{
       .id = ++next_request_,
       .exchange = &exchange,
       .request = std::move(request),
-      .plan = knowledge_->plan,
+      .config = snapshot_->plan,
       .route = &route,
       .workspace = workspace == nullptr ? std::string() : workspace->name,
       .rank = workspace == nullptr ? route.rank
@@ -92,7 +93,7 @@
       .uses_cache = false,
       .digest = {},
       .arrived = now,
-      .deadline = now + patience};
+      .deadline = now + max_wait};
   options.uses_cache = !options.request.parts.empty();
   options.digest = DigestRequest(exchange, options.workspace);
   request_arrived arrival = DescribeArrival(options, workspace);
@@ -106,12 +107,12 @@
   flows_[id] = std::move(flow);
   started.Start();
   if (workspace == nullptr || !workspace->quota) {
-    HandToRouter(now, std::move(arrival));
+    ForwardToRouter(now, std::move(arrival));
     return;
   }
-  quotas_.Ask(now, DescribeQuotaQuestion(now, started, *workspace->quota,
+  quotas_.Submit(now, DescribeQuotaQuery(now, started, *workspace->quota,
                                          std::move(arrival)));
-  SettleQuotas(now);
+  ProcessQuotaDecisions(now);
 }
 
 }  // namespace cuminswitch
--- a/lib/Edge/edge_feedback.cc
+++ b/lib/Edge/edge_feedback.cc
@@ -1,4 +1,4 @@
-// What upstreams say of themselves along with their answers.
+// Applies what upstreams report about themselves with their responses.
 #include "cuminswitch/Edge/edge_task.h"
 #include "cuminswitch/Fleet/boot_clock.h"
 #include "cuminswitch/Log/event_log.h"
@@ -6,39 +6,40 @@
 
 namespace cuminswitch {
 
-static log_line DescribeNotice(std::string_view event,
-                               const request_flow& flow) {
+static log_line DescribeFeedback(std::string_view event,
+                                 const request_flow& flow) {
   log_line line(event);
   line.Add("upstream", flow.upstream()).Add("id", flow.request().attempt);
   return line;
 }
 
 void edge_task::OnFlowFeedback(const request_flow& flow,
-                               const upstream_feedback& notices) {
-  if (notices.load) {
-    router_.OnUpstreamLoad(ReadBootClock(), {.upstream = flow.upstream(),
-                                             .running = notices.load->running,
-                                             .waiting = notices.load->waiting});
+                               const upstream_feedback& feedback) {
+  if (feedback.load) {
+    router_.OnUpstreamLoad(ReadBootClock(),
+                           {.upstream = flow.upstream(),
+                            .running = feedback.load->running,
+                            .waiting = feedback.load->waiting});
   }
-  if (notices.has_run) {
+  if (feedback.has_run) {
     router_.OnAttemptAnswered(flow.attempt());
   }
-  if (notices.limit) {
-    TakeLimit(flow, *notices.limit);
+  if (feedback.limit) {
+    ApplyLimit(flow, *feedback.limit);
   }
-  if (notices.backoff) {
-    TakeRest(flow, *notices.backoff);
+  if (feedback.backoff) {
+    ApplyBackoff(flow, *feedback.backoff);
   }
-  if (notices.is_leaving) {
-    TakeLeaving(flow);
+  if (feedback.is_leaving) {
+    ApplyLeaving(flow);
   }
 }
 
-void edge_task::TakeLimit(const request_flow& flow,
-                          const limit_notice& notice) {
+void edge_task::ApplyLimit(const request_flow& flow,
+                           const limit_notice& notice) {
   if (notice.kind == notice_kind::kUnreadable) {
     with_.log.Write(log_class::kBelief,
-                    DescribeNotice("limit_unreadable", flow));
+                    DescribeFeedback("limit_unreadable", flow));
     return;
   }
   const uint64_t upstream = Hash64(flow.upstream());
@@ -46,22 +47,22 @@
            upstream, "answer");
 }
 
-void edge_task::TakeRest(const request_flow& flow,
-                         const backoff_notice& notice) {
+void edge_task::ApplyBackoff(const request_flow& flow,
+                             const backoff_notice& notice) {
   if (notice.kind == notice_kind::kUnreadable) {
     with_.log.Write(log_class::kBelief,
-                    DescribeNotice("rest_unreadable", flow));
+                    DescribeFeedback("rest_unreadable", flow));
     return;
   }
   router_.OnBackoffRequested(ReadBootClock(), flow.attempt(), notice.time);
   with_.log.Write(
       log_class::kBelief,
-      DescribeNotice("rest_asked", flow).Add("rest_ms", notice.time));
+      DescribeFeedback("rest_asked", flow).Add("rest_ms", notice.time));
 }
 
-void edge_task::TakeLeaving(const request_flow& flow) {
+void edge_task::ApplyLeaving(const request_flow& flow) {
   if (router_.OnUpstreamLeaving(flow.attempt())) {
-    with_.log.Write(log_class::kBelief, DescribeNotice("leaving_said", flow));
+    with_.log.Write(log_class::kBelief, DescribeFeedback("leaving_said", flow));
   }
 }
 
--- a/lib/Edge/edge_limits.cc
+++ b/lib/Edge/edge_limits.cc
@@ -1,5 +1,5 @@
-// What upstreams take from all daemons together: the rates that some name, and
-// connections.
+// Limits of upstreams that all daemons share: the rate limits that some
+// advertise, and their connections.
 #include <optional>
 #include <utility>
 #include <vector>
@@ -14,8 +14,8 @@
 
 namespace cuminswitch {
 
-static constexpr std::string_view kFromAge = "not_renewed";
-static constexpr std::string_view kFromRestart = "restart";
+static constexpr std::string_view kSourceNotRenewed = "not_renewed";
+static constexpr std::string_view kSourceRestart = "restart";
 
 static std::string_view EventName(upstream_limits::change what) {
   switch (what) {
@@ -49,93 +49,93 @@
   with_.log.Write(log_class::kBelief, line);
 }
 
-void edge_task::Take(const peer_limits& news) {
+void edge_task::Handle(const peer_limits& update) {
   const time_point now = ReadBootClock();
-  for (const limit_update& item : news.limits) {
-    LogLimit(router_.OnPeerLimit(now, item), item.upstream, news.peer);
+  for (const limit_update& item : update.limits) {
+    LogLimit(router_.OnPeerLimit(now, item), item.upstream, update.peer);
   }
 }
 
-void edge_task::TellLimits(time_point now) {
-  std::vector<limit_update> news =
-      router_.limits().ListUpdates(now, passes_on_);
-  // Once more when there are none left, so that no old ones are told.
-  if (!news.empty() || told_limits_) {
-    told_limits_ = !news.empty();
+void edge_task::ReportLimits(time_point now) {
+  std::vector<limit_update> updates =
+      router_.limits().ListUpdates(now, relays_updates_);
+  // An empty list is posted once, so that the fleet task stops sending the
+  // previous one.
+  if (!updates.empty() || reported_limits_) {
+    reported_limits_ = !updates.empty();
     services_.FindPort<fleet_message>(kFleetService)
-        .Post(own_limits{.limits = std::move(news), .at = now});
+        .Post(own_limits{.limits = std::move(updates), .at = now});
   }
 }
 
-void edge_task::TakeLimitAsk(time_point now, quota_query ask) {
-  // Of the two, the younger news counts: a daemon that has not heard yet that a
-  // limit was lowered would raise it for all.
-  LogLimit(router_.OnPeerLimit(now, {.upstream = ask.subject,
-                                     .rate = ask.limit.rate,
-                                     .age = ask.limit_age}),
-           ask.subject, ask.from.ToString());
-  if (const auto rate = router_.limits().Find(ask.subject)) {
-    ask.limit = QuotaOfLimit(*rate);
+void edge_task::HandleLimitQuery(time_point now, quota_query query) {
+  // The more recent of the two limits is used: a daemon that has not yet
+  // received a lowered limit would otherwise raise it for all daemons.
+  LogLimit(router_.OnPeerLimit(now, {.upstream = query.subject,
+                                     .rate = query.limit.rate,
+                                     .age = query.limit_age}),
+           query.subject, query.from.ToString());
+  if (const auto rate = router_.limits().Find(query.subject)) {
+    query.limit = QuotaOfLimit(*rate);
   }
-  limits_.policy().OnQuery(now, ask);
-  SettleLimits(now);
+  limits_.policy().OnQuery(now, query);
+  ProcessLimitDecisions(now);
 }
 
-void edge_task::SettleLimits(time_point now) {
+void edge_task::ProcessLimitDecisions(time_point now) {
   for (const permit_return& unused : router_.TakeUnusedPermits()) {
-    limits_.Return(now, unused);
+    limits_.Release(now, unused);
   }
-  for (const permit_request& question : router_.TakePermitRequests()) {
-    limits_.Ask(now, question);
+  for (const permit_request& request : router_.TakePermitRequests()) {
+    limits_.Submit(now, request);
   }
   SendQuotaMessages(limits_.policy());
   for (const upstream_limit_admission::permit_result& decided :
        limits_.TakeDecided()) {
-    SettleLimit(now, decided);
+    ApplyLimitDecision(now, decided);
   }
 }
 
-void edge_task::SettleLimit(
+void edge_task::ApplyLimitDecision(
     time_point now,
     const upstream_limit_admission::permit_result& decided) {
-  const request_flow* flow = FindFlow(decided.request.request);
+  const request_flow* flow = FindFlow(decided.permit.request);
   if (flow != nullptr) {
     with_.log.Write(
         log_class::kRequest,
-        DescribePermit(*flow,
-                       router_.FindUpstreamName(decided.request.upstream),
+        DescribePermit(*flow, router_.FindUpstreamName(decided.permit.upstream),
                        decided));
   }
   action_list actions;
-  router_.OnPermit(now, decided.Answer(), actions);
+  router_.OnPermit(now, decided.ToReply(), actions);
   Perform(now, actions);
 }
 
 void edge_task::ForgetLimit(const std::string& upstream) {
   const uint64_t hash = Hash64(upstream);
-  LogLimit(router_.ForgetLimit(hash), hash, kFromRestart);
+  LogLimit(router_.ForgetLimit(hash), hash, kSourceRestart);
 }
 
 void edge_task::ExpireLimits(time_point now) {
   for (const uint64_t upstream : router_.ExpireLimits(now)) {
-    LogLimit(upstream_limits::change::kEnded, upstream, kFromAge);
+    LogLimit(upstream_limits::change::kEnded, upstream, kSourceNotRenewed);
   }
 }
 
 std::optional<size_t> edge_task::IdleLimit(const endpoint& to) const {
   const auto found = upstreams_by_address_.find(to);
-  if (found == upstreams_by_address_.end() || knowledge_ == nullptr ||
-      knowledge_->plan == nullptr) {
+  if (found == upstreams_by_address_.end() || snapshot_ == nullptr ||
+      snapshot_->plan == nullptr) {
     return std::nullopt;
   }
   const upstream_entry& entry = *found->second;
-  const service_config* service = knowledge_->plan->FindService(entry.service);
+  const service_config* service = snapshot_->plan->FindService(entry.service);
   if (service == nullptr) {
     return std::nullopt;
   }
   return IdleShare({.max_connections = service->max_connections,
                     .slots = entry.slots,
-                    .daemons = maybe_at_work_,
+                    .daemons = possibly_active_,
                     .self = Hash64(options_.self.name),
                     .upstream = Hash64(entry.id)});
 }
--- a/lib/Edge/edge_metrics.cc
+++ b/lib/Edge/edge_metrics.cc
@@ -4,7 +4,8 @@
 
 namespace cuminswitch {
 
-/// Routes that are counted by name; a configuration may hold thousands.
+/// Routes that are counted under their own name; a configuration may contain
+/// thousands.
 static constexpr size_t kMaxRoutes = 64;
 static constexpr std::string_view kOtherRoutes = "other";
 
@@ -12,11 +13,11 @@
                             outcome result,
                             std::string_view reason,
                             double seconds) {
-  const bool has_place = routes_.contains(route) || routes_.size() < kMaxRoutes;
-  route_metrics& item = routes_[has_place ? route : std::string(kOtherRoutes)];
+  const bool has_room = routes_.contains(route) || routes_.size() < kMaxRoutes;
+  route_metrics& item = routes_[has_room ? route : std::string(kOtherRoutes)];
   const std::string labels = "outcome=\"" + std::string(ToString(result)) +
                              "\",reason=\"" + std::string(reason) + "\"";
-  ++item.ends[labels];
+  ++item.outcomes[labels];
   item.duration.Add(seconds);
 }
 
@@ -27,7 +28,7 @@
   }
 }
 
-/// Writes one figure of each workspace that has a quota.
+/// Adds one value for each workspace that has a quota.
 template <class Read>
 static void AddQuotas(metric_page& page,
                       const std::map<std::string, quota_counts>& quotas,
@@ -48,7 +49,7 @@
   AddQuotas(page, quotas, [](const auto& item) { return item.refused; });
   page.Begin("cuminswitch_quota_given_back_total", "counter",
              "Units of admitted requests that did not run.");
-  AddQuotas(page, quotas, [](const auto& item) { return item.given_back; });
+  AddQuotas(page, quotas, [](const auto& item) { return item.refunded; });
   page.Begin("cuminswitch_quota_rate", "gauge",
              "Units a second that the workspace may use over the fleet.");
   AddQuotas(page, quotas, [](const auto& item) { return item.limit.rate; });
@@ -72,7 +73,7 @@
   page.Begin("cuminswitch_requests_total", "counter",
              "Ended requests by route, outcome and reason.");
   for (const auto& [route, item] : routes_) {
-    for (const auto& [labels, count] : item.ends) {
+    for (const auto& [labels, count] : item.outcomes) {
       std::string all = "route=\"" + route + "\",";
       all += labels;
       page.Add(static_cast<double>(count), all);
--- a/lib/Edge/edge_quarantine.cc
+++ b/lib/Edge/edge_quarantine.cc
@@ -1,5 +1,4 @@
-// Requests that crash upstreams: what peers and the store are told, and what is
-// written to the log.
+// Reports requests that crash upstreams to the peers, the store and the log.
 #include <utility>
 
 #include "cuminswitch/Edge/edge_task.h"
@@ -33,22 +32,23 @@
   return {};
 }
 
-void edge_task::Take(const peer_quarantine& item) {
+void edge_task::Handle(const peer_quarantine& item) {
   router_.quarantine().OnUpdate(ReadBootClock(), item.update);
   LogQuarantines();
 }
 
-void edge_task::TellQuarantine(time_point now) {
+void edge_task::ReportQuarantine(time_point now) {
   LogQuarantines();
   request_quarantine& quarantine = router_.quarantine();
   own_quarantine own{.update = quarantine.TakeUpdate(now),
                      .active_crashes = quarantine.ListActiveCrashes(now),
                      .quarantined = quarantine.ListOwn(now),
                      .at = now};
-  // Once more when there are none left, so that no old ones are told.
-  const bool is_standing = !own.active_crashes.empty();
-  if (!own.update.IsEmpty() || is_standing || told_quarantine_) {
-    told_quarantine_ = is_standing;
+  // An empty list is posted once, so that the fleet task stops sending the
+  // previous one.
+  const bool has_active = !own.active_crashes.empty();
+  if (!own.update.IsEmpty() || has_active || reported_crashes_) {
+    reported_crashes_ = has_active;
     services_.FindPort<fleet_message>(kFleetService).Post(std::move(own));
   }
 }
--- a/lib/Edge/edge_quotas.cc
+++ b/lib/Edge/edge_quotas.cc
@@ -1,4 +1,4 @@
-// How the edge asks about workspaces' quotas, and carries out what is decided.
+// Submits requests to the quota policy and applies its decisions.
 #include <algorithm>
 #include <utility>
 #include <vector>
@@ -13,50 +13,51 @@
 
 namespace cuminswitch {
 
-void edge_task::TellQuotasOfFleet(time_point now) {
-  std::vector<endpoint> living;
+void edge_task::UpdateQuotaFleet(time_point now) {
+  std::vector<endpoint> alive;
   for (const daemon_record& item : peers_) {
     if (!item.is_leaving) {
-      living.push_back(item.peer_address);
+      alive.push_back(item.peer_address);
     }
   }
-  has_gathered_ = now - started_at_ >= owner_quota_policy::kWarmUpTime;
-  if (!has_gathered_ && knowledge_ != nullptr) {
-    // A daemon that knows itself alone would take itself for the owner of
-    // every quota, as all do that were killed together.
-    for (const daemon_entry& item : knowledge_->daemons) {
-      living.push_back(item.peer_address);
+  has_warmed_up_ = now - started_at_ >= owner_quota_policy::kWarmUpTime;
+  if (!has_warmed_up_ && snapshot_ != nullptr) {
+    // A daemon that knows no peers would consider itself the owner of every
+    // quota. After a simultaneous restart all daemons would do so; therefore
+    // the daemons listed in the store count as alive during the warm-up time.
+    for (const daemon_entry& item : snapshot_->daemons) {
+      alive.push_back(item.peer_address);
     }
-    std::sort(living.begin(), living.end());
-    living.erase(std::unique(living.begin(), living.end()), living.end());
+    std::sort(alive.begin(), alive.end());
+    alive.erase(std::unique(alive.begin(), alive.end()), alive.end());
   }
-  const quota_fleet_view fleet{.alive = living,
-                               .known = maybe_at_work_,
-                               .convergence_time = notice_time_,
+  const quota_fleet_view fleet{.alive = alive,
+                               .known = possibly_active_,
+                               .convergence_time = convergence_time_,
                                .is_leaving = stop_.HasBegun()};
   quotas_.policy().SetFleet(now, fleet);
   limits_.policy().SetFleet(now, fleet);
 }
 
-void edge_task::Take(const quota_query& ask) {
+void edge_task::Handle(const quota_query& query) {
   const time_point now = ReadBootClock();
-  if (ask.kind == quota_kind::kUpstream) {
-    TakeLimitAsk(now, ask);
+  if (query.kind == quota_kind::kUpstream) {
+    HandleLimitQuery(now, query);
     return;
   }
-  quotas_.policy().OnQuery(now, ask);
-  SettleQuotas(now);
+  quotas_.policy().OnQuery(now, query);
+  ProcessQuotaDecisions(now);
 }
 
-void edge_task::Take(const quota_reply& verdict) {
+void edge_task::Handle(const quota_reply& reply) {
   const time_point now = ReadBootClock();
-  if (verdict.kind == quota_kind::kUpstream) {
-    limits_.policy().OnReply(now, verdict);
-    SettleLimits(now);
+  if (reply.kind == quota_kind::kUpstream) {
+    limits_.policy().OnReply(now, reply);
+    ProcessLimitDecisions(now);
     return;
   }
-  quotas_.policy().OnReply(now, verdict);
-  SettleQuotas(now);
+  quotas_.policy().OnReply(now, reply);
+  ProcessQuotaDecisions(now);
 }
 
 void edge_task::SendQuotaMessages(quota_policy& policy) {
@@ -65,15 +66,15 @@
   }
 }
 
-void edge_task::SettleQuotas(time_point now) {
+void edge_task::ProcessQuotaDecisions(time_point now) {
   SendQuotaMessages(quotas_.policy());
   for (quota_admission::admission_result& decided : quotas_.TakeDecided()) {
-    SettleQuota(now, std::move(decided));
+    ApplyQuotaDecision(now, std::move(decided));
   }
 }
 
-void edge_task::SettleQuota(time_point now,
-                            quota_admission::admission_result decided) {
+void edge_task::ApplyQuotaDecision(time_point now,
+                                   quota_admission::admission_result decided) {
   const request_id id = decided.arrival.request;
   request_flow* flow = FindFlow(id);
   if (flow == nullptr || flow->has_ended()) {
@@ -82,11 +83,12 @@
   }
   if (decided.decision.is_admitted) {
     decided.arrival.time_limit = flow->deadline() - now;
-    HandToRouter(now, std::move(decided.arrival));
+    ForwardToRouter(now, std::move(decided.arrival));
     return;
   }
-  with_.log.Write(log_class::kRequest,
-                  DescribeQuotaRefusal(*flow, decided.item, decided.decision));
+  with_.log.Write(
+      log_class::kRequest,
+      DescribeQuotaRefusal(*flow, decided.request, decided.decision));
   flow->GiveUp({.request = id,
                 .result = outcome::kNotRun,
                 .status = status_code::kTooManyRequests,
--- a/lib/Edge/edge_snapshot.cc
+++ b/lib/Edge/edge_snapshot.cc
@@ -1,4 +1,4 @@
-// How the edge takes in what is known of the deployment.
+// Applies changes of the deployment: configuration, upstreams and peers.
 #include <vector>
 
 #include "cuminswitch/Edge/edge_task.h"
@@ -9,15 +9,15 @@
 
 namespace cuminswitch {
 
-void edge_task::ForgetRestarted(const upstream_change& change,
-                                revision_number revision) {
+void edge_task::ResetRestartedUpstream(const upstream_change& change,
+                                       revision_number revision) {
   if (change.before == nullptr || change.after == nullptr ||
       change.before->started == change.after->started) {
     return;
   }
-  // Kept connections to an earlier start are dead. Whoever sends on one learns
-  // that only after it has sent, and must then tell its caller that the request
-  // may have run.
+  // Pooled connections to an earlier start are broken. A request sent on one
+  // fails only after it was sent, and the caller would then be told that it may
+  // have been executed.
   pool_.Forget(change.before->address);
   ForgetLimit(change.id);
   with_.log.Write(log_class::kBelief, log_line("upstream_restarted")
@@ -30,7 +30,7 @@
 void edge_task::IndexAddress(const upstream_change& change) {
   if (change.before != nullptr) {
     const auto found = upstreams_by_address_.find(change.before->address);
-    // Another upstream may have taken the address.
+    // Another upstream may use the address now.
     if (found != upstreams_by_address_.end() &&
         found->second->id == change.id) {
       upstreams_by_address_.erase(found);
@@ -41,76 +41,76 @@
   }
 }
 
-void edge_task::Take(const upstreams_changed& news) {
+void edge_task::Handle(const upstreams_changed& update) {
   const time_point now = ReadBootClock();
-  unreadable_upstreams_ = news.unreadable;
-  const uint64_t newest_changes = held_weights_.newest_changes();
+  unreadable_upstreams_ = update.unreadable;
+  const uint64_t newest_changes = weights_counter_.newest_changes();
   std::vector<upstream_update> updates;
-  for (const upstream_change& change : news.changes) {
-    ForgetRestarted(change, news.revision);
+  for (const upstream_change& change : update.changes) {
+    ResetRestartedUpstream(change, update.revision);
     IndexAddress(change);
     if (change.after != nullptr) {
-      held_weights_.Add(change.after->weights);
+      weights_counter_.Add(change.after->weights);
       updates.push_back(TranslateUpstream(*change.after));
     } else {
       updates.push_back({.spec = {.name = change.id}, .is_gone = true});
     }
     if (change.before != nullptr) {
-      held_weights_.Remove(change.before->weights);
+      weights_counter_.Remove(change.before->weights);
     }
   }
   action_list actions;
-  if (held_weights_.newest_changes() != newest_changes) {
-    ApplyPlan(now, actions);
+  if (weights_counter_.newest_changes() != newest_changes) {
+    ApplyRoutingConfig(now, actions);
   }
   router_.OnUpstreams(now, updates, actions);
   Perform(now, actions);
 }
 
-void edge_task::ApplyPlan(time_point now, action_list& actions) {
-  if (knowledge_ != nullptr && knowledge_->plan != nullptr) {
-    router_.OnPlan(now, TranslateRoutingConfig(*knowledge_, held_weights_),
+void edge_task::ApplyRoutingConfig(time_point now, action_list& actions) {
+  if (snapshot_ != nullptr && snapshot_->plan != nullptr) {
+    router_.OnPlan(now, TranslateRoutingConfig(*snapshot_, weights_counter_),
                    actions);
   }
 }
 
-void edge_task::Take(const fleet_snapshot_changed& news) {
+void edge_task::Handle(const fleet_snapshot_changed& update) {
   const bool was_ready = IsReady();
-  const bool has_same_plan =
-      knowledge_ != nullptr && knowledge_->plan == news.knowledge->plan &&
-      knowledge_->wanted_weights == news.knowledge->wanted_weights;
-  knowledge_ = news.knowledge;
-  router_.quarantine().OnStored(ReadBootClock(), knowledge_->quarantined);
+  const bool has_same_config =
+      snapshot_ != nullptr && snapshot_->plan == update.knowledge->plan &&
+      snapshot_->wanted_weights == update.knowledge->wanted_weights;
+  snapshot_ = update.knowledge;
+  router_.quarantine().OnStored(ReadBootClock(), snapshot_->quarantined);
   LogQuarantines();
-  if (knowledge_->plan == nullptr || has_same_plan) {
+  if (snapshot_->plan == nullptr || has_same_config) {
     return;
   }
-  const routing_config& plan = *knowledge_->plan;
-  server_->SetLimits({.max_head_size = plan.max_head_size,
-                      .max_body_size = plan.max_body_size,
-                      .request_timeout = plan.request_timeout,
-                      .idle_timeout = plan.idle_timeout});
+  const routing_config& config = *snapshot_->plan;
+  server_->SetLimits({.max_head_size = config.max_head_size,
+                      .max_body_size = config.max_body_size,
+                      .request_timeout = config.request_timeout,
+                      .idle_timeout = config.idle_timeout});
   const time_point now = ReadBootClock();
   action_list actions;
-  ApplyPlan(now, actions);
+  ApplyRoutingConfig(now, actions);
   Perform(now, actions);
   pool_.TrimIdle();
   if (IsReady() && !was_ready) {
     with_.log.Write(log_class::kLifecycle,
-                    log_line("ready").Add("configuration", plan.version));
+                    log_line("ready").Add("configuration", config.version));
     services_.FindPort<fleet_message>(kFleetService)
         .Post(readiness_changed{.is_ready = true});
   }
 }
 
-void edge_task::Take(const peers_changed& news) {
-  peers_ = news.alive;
-  fleet_size_ = news.known;
-  notice_time_ = news.convergence_time;
-  passes_on_ = news.is_partial;
-  const bool has_other_share = maybe_at_work_ != news.possibly_active;
-  maybe_at_work_ = news.possibly_active;
-  TellQuotasOfFleet(ReadBootClock());
+void edge_task::Handle(const peers_changed& update) {
+  peers_ = update.alive;
+  fleet_size_ = update.known;
+  convergence_time_ = update.convergence_time;
+  relays_updates_ = update.is_partial;
+  const bool has_other_share = possibly_active_ != update.possibly_active;
+  possibly_active_ = update.possibly_active;
+  UpdateQuotaFleet(ReadBootClock());
   if (has_other_share) {
     pool_.TrimIdle();
   }
--- a/lib/Edge/edge_task.cc
+++ b/lib/Edge/edge_task.cc
@@ -13,7 +13,8 @@
 
 namespace cuminswitch {
 
-/// The router expires waiting requests on its tick.
+/// Tick interval while requests are in flight; the router expires waiting
+/// requests on a tick.
 static constexpr duration kTickInterval = std::chrono::milliseconds(50);
 static constexpr duration kIdleTickInterval = std::chrono::milliseconds(250);
 static constexpr duration kStopTickInterval = std::chrono::milliseconds(100);
@@ -33,8 +34,8 @@
                                  .old_weights_time = opts.old_weights_time,
                                  .now = ReadBootClock()}),
               *this),
-      held_(opts.buffer_limit),
-      pool_(base, &held_),
+      buffer_account_(opts.buffer_limit),
+      pool_(base, &buffer_account_),
       tick_timer_(base, [this] { OnTick(); }),
       stop_timer_(base, [this] { OnStopTick(); }),
       quotas_(std::make_unique<owner_quota_policy>(owner_quota_policy::options{
@@ -56,7 +57,7 @@
 void edge_task::Start() {
   pool_.SetIdleLimit([this](const endpoint& to) { return IdleLimit(to); });
   server_ = std::make_unique<caller_server>(
-      base(), options_.self.caller_address, *this, &held_);
+      base(), options_.self.caller_address, *this, &buffer_account_);
   OnTick();
 }
 
@@ -76,7 +77,7 @@
 }
 
 bool edge_task::IsReady() const {
-  return knowledge_ != nullptr && knowledge_->plan != nullptr &&
+  return snapshot_ != nullptr && snapshot_->plan != nullptr &&
          !stop_.HasBegun();
 }
 
@@ -101,7 +102,7 @@
        .quotas = quotas_.counts(),
        .limits = limits_.totals(),
        .log_lines_dropped = with_.log.dropped_count(),
-       .held_bytes = held_.held(),
+       .held_bytes = buffer_account_.held(),
        .refused_for_memory = server_ == nullptr ? 0 : server_->refused_count(),
        .upstream_connections = pool_.opened_count(),
        .unreadable_upstreams = unreadable_upstreams_,
@@ -109,28 +110,28 @@
 }
 
 void edge_task::Receive(edge_message message) {
-  std::visit([this](const auto& news) { Take(news); }, message);
+  std::visit([this](const auto& update) { Handle(update); }, message);
 }
 
-void edge_task::Take(const weights_changing& news) {
-  for (const std::string& id : changing_) {
+void edge_task::Handle(const weights_changing& update) {
+  for (const std::string& id : changing_upstreams_) {
     router_.OnUpstreamChanging({.upstream = id, .is_changing = false});
   }
-  changing_ = news.upstreams;
-  for (const std::string& id : changing_) {
+  changing_upstreams_ = update.upstreams;
+  for (const std::string& id : changing_upstreams_) {
     router_.OnUpstreamChanging({.upstream = id, .is_changing = true});
   }
 }
 
-void edge_task::Take(const peer_placements& news) {
-  router_.OnPeerPlacements(ReadBootClock(), news);
+void edge_task::Handle(const peer_placements& update) {
+  router_.OnPeerPlacements(ReadBootClock(), update);
 }
 
-void edge_task::TellPlacements() {
+void edge_task::ReportPlacements() {
   std::vector<upstream_backlog> backlogs = router_.ListBacklogs();
   std::vector<placed_prefix> prefixes = router_.TakePlacedPrefixes();
-  if (backlogs != told_backlogs_ || !prefixes.empty()) {
-    told_backlogs_ = backlogs;
+  if (backlogs != reported_backlogs_ || !prefixes.empty()) {
+    reported_backlogs_ = backlogs;
     services_.FindPort<fleet_message>(kFleetService)
         .Post(own_placements{.backlogs = std::move(backlogs),
                              .prefixes = std::move(prefixes),
@@ -144,10 +145,10 @@
 }
 
 void edge_task::OnFlowEvent(core_event event) {
-  HandToRouter(ReadBootClock(), event);
+  ForwardToRouter(ReadBootClock(), event);
 }
 
-void edge_task::HandToRouter(time_point now, const core_event& event) {
+void edge_task::ForwardToRouter(time_point now, const core_event& event) {
   action_list actions;
   if (const auto* arrived = std::get_if<request_arrived>(&event)) {
     router_.OnRequest(now, *arrived, actions);
@@ -168,13 +169,13 @@
       CancelAttempt(cancel->attempt);
     } else if (const auto* dispatch = std::get_if<dispatch_attempt>(&action)) {
       Perform(now, *dispatch);
-    } else if (const auto* answer = std::get_if<local_response>(&action)) {
-      if (request_flow* flow = FindFlow(answer->request)) {
-        flow->GiveUp(*answer);
+    } else if (const auto* response = std::get_if<local_response>(&action)) {
+      if (request_flow* flow = FindFlow(response->request)) {
+        flow->GiveUp(*response);
       }
     }
   }
-  SettleLimits(now);
+  ProcessLimitDecisions(now);
 }
 
 void edge_task::CancelAttempt(attempt_id attempt) {
@@ -192,26 +193,26 @@
 void edge_task::Perform(time_point now, const dispatch_attempt& action) {
   request_flow* flow = FindFlow(action.request);
   if (flow == nullptr || flow->has_ended()) {
-    HandToRouter(now, attempt_ended{.attempt = action.attempt,
-                                    .result = outcome::kNotRun,
-                                    .answer_begun = true,
-                                    .answer = {}});
+    ForwardToRouter(now, attempt_ended{.attempt = action.attempt,
+                                       .result = outcome::kNotRun,
+                                       .answer_begun = true,
+                                       .answer = {}});
     return;
   }
   with_.log.Write(log_class::kRequest,
                   DescribePlacement(now, *flow, action)
-                      .Add("revision", knowledge_->revision));
+                      .Add("revision", snapshot_->revision));
   flow->Dispatch(now, action);
   quotas_.OnRuns(now, action.request, flow->runs());
-  SettleQuotas(now);
+  ProcessQuotaDecisions(now);
 }
 
 void edge_task::OnFlowAttemptFailed(const request_flow& flow,
-                                    attempt_result answer,
+                                    attempt_result result,
                                     uint32_t status) {
   with_.log.Write(log_class::kRequest,
-                  DescribeAttemptFailure(flow, answer, status)
-                      .Add("revision", knowledge_->revision));
+                  DescribeAttemptFailure(flow, result, status)
+                      .Add("revision", snapshot_->revision));
 }
 
 void edge_task::OnConnectionLost(const endpoint& address) {
@@ -222,23 +223,23 @@
   return router_.CanPlaceElsewhere(ReadBootClock(), flow.id());
 }
 
-/// What made an answer late; empty where it was not.
+/// Returns what made a response late; empty if it was not late.
 static std::string_view LateCause(const request_flow& flow) {
   const route_spec& route = flow.route();
-  const bool is_late_begun =
+  const bool is_first_byte_late =
       *flow.first_byte_at() - flow.arrived() > route.target_latency;
-  const bool has_paused =
-      route.IsStream() && flow.longest_pause() > route.max_event_gap;
-  if (is_late_begun) {
-    return has_paused ? "both" : "first_byte";
+  const bool has_gap =
+      route.IsStream() && flow.longest_event_gap() > route.max_event_gap;
+  if (is_first_byte_late) {
+    return has_gap ? "both" : "first_byte";
   }
-  return has_paused ? "pause" : "";
+  return has_gap ? "pause" : "";
 }
 
 void edge_task::OnFlowEnd(request_flow& flow, const flow_result& end) {
   with_.log.Write(log_class::kRequest,
                   DescribeEnd(ReadBootClock(), flow, end)
-                      .Add("configuration", knowledge_->plan->version));
+                      .Add("configuration", snapshot_->plan->version));
   const std::string& route = flow.route().name;
   metrics_.CountEnd(route, end.result, end.reason,
                     ToSeconds(ReadBootClock() - flow.arrived()));
@@ -254,7 +255,7 @@
     if (*alive) {
       const time_point now = ReadBootClock();
       quotas_.OnEnd(now, id, runs);
-      SettleQuotas(now);
+      ProcessQuotaDecisions(now);
       flows_.erase(id);
     }
   });
@@ -265,17 +266,17 @@
   action_list actions;
   router_.OnTick(now, actions);
   Perform(now, actions);
-  if (!has_gathered_) {
-    TellQuotasOfFleet(now);
+  if (!has_warmed_up_) {
+    UpdateQuotaFleet(now);
   }
   quotas_.policy().OnTick(now);
-  SettleQuotas(now);
+  ProcessQuotaDecisions(now);
   limits_.policy().OnTick(now);
-  SettleLimits(now);
-  TellLimits(now);
-  TellQuarantine(now);
-  TellPlacements();
-  LogKeptEngines();
+  ProcessLimitDecisions(now);
+  ReportLimits(now);
+  ReportQuarantine(now);
+  ReportPlacements();
+  LogReservedEngines();
   LogHeldBytes();
   ExpireLimits(now);
   with_.log.Flush();
@@ -283,23 +284,24 @@
 }
 
 void edge_task::LogHeldBytes() {
-  if (server_ == nullptr || server_->refused_count() == told_refused_) {
+  if (server_ == nullptr || server_->refused_count() == logged_refused_count_) {
     return;
   }
-  with_.log.Write(log_class::kLifecycle,
-                  log_line("requests_refused_for_memory")
-                      .Add("count", server_->refused_count() - told_refused_)
-                      .Add("held_bytes", held_.held())
-                      .Add("limit_bytes", held_.limit()));
-  told_refused_ = server_->refused_count();
+  with_.log.Write(
+      log_class::kLifecycle,
+      log_line("requests_refused_for_memory")
+          .Add("count", server_->refused_count() - logged_refused_count_)
+          .Add("held_bytes", buffer_account_.held())
+          .Add("limit_bytes", buffer_account_.limit()));
+  logged_refused_count_ = server_->refused_count();
 }
 
-void edge_task::LogKeptEngines() {
+void edge_task::LogReservedEngines() {
   const bool reserves_engines = router_.short_share() > 0;
-  if (reserves_engines == kept_engines_) {
+  if (reserves_engines == logged_reserved_engines_) {
     return;
   }
-  kept_engines_ = reserves_engines;
+  logged_reserved_engines_ = reserves_engines;
   const prompt_mix own = router_.OwnMix(ReadBootClock());
   with_.log.Write(
       log_class::kBelief,
@@ -319,7 +321,7 @@
   stop_.Begin(ReadBootClock());
   with_.log.Write(log_class::kLifecycle,
                   log_line("stopping").Add("requests", flows_.size()));
-  TellQuotasOfFleet(ReadBootClock());
+  UpdateQuotaFleet(ReadBootClock());
   server_->BeginDrain();
   services_.FindPort<fleet_message>(kFleetService).Post(fleet_stop_requested{});
   OnStopTick();
@@ -327,10 +329,10 @@
 
 void edge_task::OnStopTick() {
   const time_point now = ReadBootClock();
-  if (stop_.IsForgotten(now)) {
+  if (stop_.HasAddressExpired(now)) {
     server_->CloseIdle();
   }
-  if (stop_.IsOver(now, flows_.size(), server_->connection_count())) {
+  if (stop_.IsComplete(now, flows_.size(), server_->connection_count())) {
     with_.log.Write(log_class::kLifecycle,
                     log_line("stopped").Add("requests", flows_.size()));
     with_.log.Flush();
--- a/lib/Edge/event_splitter.cc
+++ b/lib/Edge/event_splitter.cc
@@ -8,8 +8,8 @@
 static constexpr std::string_view kEventEndCrLf = "\r\n\r\n";
 static constexpr std::string_view kIdField = "id:";
 
-/// Returns the length of the whole events at the front of \p text.
-static size_t WholeEvents(std::string_view text) {
+/// Returns the length in bytes of the complete events at the front of \p text.
+static size_t CompleteEventsLength(std::string_view text) {
   const size_t plain = text.rfind(kEventEnd);
   const size_t crlf = text.rfind(kEventEndCrLf);
   const size_t plain_end =
@@ -19,7 +19,7 @@
   return std::max(plain_end, crlf_end);
 }
 
-void event_splitter::ReadIds(std::string_view events) {
+void event_splitter::ParseIds(std::string_view events) {
   while (!events.empty()) {
     const size_t end = std::min(events.find('\n'), events.size());
     std::string_view line = events.substr(0, end);
@@ -39,23 +39,24 @@
 }
 
 std::string_view event_splitter::Add(std::string_view data) {
-  buffer_.erase(0, taken_);
+  buffer_.erase(0, returned_);
   buffer_.append(data);
-  taken_ = WholeEvents(buffer_);
-  const std::string_view events = std::string_view(buffer_).substr(0, taken_);
-  ReadIds(events);
+  returned_ = CompleteEventsLength(buffer_);
+  const std::string_view events =
+      std::string_view(buffer_).substr(0, returned_);
+  ParseIds(events);
   return events;
 }
 
 void event_splitter::DropPartial() {
   buffer_.clear();
-  taken_ = 0;
+  returned_ = 0;
 }
 
-std::string_view event_splitter::TakeRest() {
-  buffer_.erase(0, taken_);
-  taken_ = buffer_.size();
-  ReadIds(buffer_);
+std::string_view event_splitter::ApplyBackoff() {
+  buffer_.erase(0, returned_);
+  returned_ = buffer_.size();
+  ParseIds(buffer_);
   return buffer_;
 }
 
--- a/lib/Edge/graceful_stop.cc
+++ b/lib/Edge/graceful_stop.cc
@@ -2,14 +2,15 @@
 
 namespace cuminswitch {
 
-/// Callers keep an address answer for two seconds, some of them three times as
-/// long; until then they open connections here.
-static constexpr duration kLongestAddressUse = std::chrono::milliseconds(6200);
-/// Left of the grace when the process ends at the latest.
+/// Callers cache a resolved address for two seconds, some of them for three
+/// times as long, and open connections to it until then.
+static constexpr duration kMaxAddressUse = std::chrono::milliseconds(6200);
+/// The process exits at the latest this long before the end of the grace.
 static constexpr duration kExitMargin = std::chrono::milliseconds(400);
-/// A request that comes this late to a stopping daemon is taken only if its
-/// deadline passes before the process ends; the end would cut it in two.
-static constexpr duration kLatestUnboundedStart =
+/// A stopping daemon accepts every request for this long. After that it accepts
+/// only requests whose deadline is before the exit of the process, which would
+/// truncate the response.
+static constexpr duration kUnconditionalAcceptTime =
     std::chrono::milliseconds(2700);
 
 void graceful_stop::Begin(time_point now) {
@@ -17,28 +18,28 @@
   begun_at_ = now;
 }
 
-bool graceful_stop::CanAccept(time_point now, duration patience) const {
+bool graceful_stop::CanAccept(time_point now, duration max_wait) const {
   if (!has_begun_) {
     return true;
   }
   const duration elapsed = now - begun_at_;
-  return elapsed < kLatestUnboundedStart ||
-         elapsed + patience < grace_ - kExitMargin;
+  return elapsed < kUnconditionalAcceptTime ||
+         elapsed + max_wait < grace_ - kExitMargin;
 }
 
-bool graceful_stop::IsForgotten(time_point now) const {
-  return has_begun_ && now - begun_at_ >= kLongestAddressUse;
+bool graceful_stop::HasAddressExpired(time_point now) const {
+  return has_begun_ && now - begun_at_ >= kMaxAddressUse;
 }
 
-bool graceful_stop::IsOver(time_point now,
-                           size_t requests,
-                           size_t connections) const {
+bool graceful_stop::IsComplete(time_point now,
+                               size_t requests,
+                               size_t connections) const {
   if (!has_begun_) {
     return false;
   }
-  // An answer that has ended may still be on its way to its caller.
+  // A response of a completed request may still wait to be sent to its caller.
   const bool has_nothing_left =
-      IsForgotten(now) && requests == 0 && connections == 0;
+      HasAddressExpired(now) && requests == 0 && connections == 0;
   return has_nothing_left || now - begun_at_ >= grace_ - kExitMargin;
 }
 
--- a/lib/Edge/quota_admission.cc
+++ b/lib/Edge/quota_admission.cc
@@ -6,38 +6,41 @@
 
 namespace cuminswitch {
 
-/// Workspaces that are counted by name; a configuration may hold thousands.
+/// Workspaces that are counted under their own name; a configuration may
+/// contain thousands.
 static constexpr size_t kMaxCounted = 64;
 static constexpr const char* kOtherWorkspaces = "other";
-/// Of the time that is left, what a caller waits before it comes back. Who is
-/// told a longer wait comes early or not at all, so nothing is kept for it.
-static constexpr int kReturnPart = 3;
+/// A reservation is made only if the caller's wait is at most the time left
+/// divided by this. A caller that is told to wait longer retries early or not
+/// at all, and would not use the reservation.
+static constexpr int kMaxWaitDivisor = 3;
 
-static double Weigh(const quota_config& quota, uint64_t tokens) {
+static double RequestWeight(const quota_config& quota, uint64_t tokens) {
   if (quota.unit == quota_unit::kRequests) {
     return 1;
   }
   return tokens == 0 ? quota.uncounted_tokens : static_cast<double>(tokens);
 }
 
-void quota_admission::Ask(time_point now, const admission_query& asked) {
-  const request_arrived& arrival = asked.arrival;
-  const quota_request item{.ticket = arrival.request,
-                           .subject = Hash64(arrival.workspace),
-                           .limit = {.rate = asked.quota.rate,
-                                     .burst = asked.quota.burst,
-                                     .version = asked.version},
-                           .weight = Weigh(asked.quota, asked.tokens),
-                           .digest = asked.digest,
-                           .max_wait = asked.time_left / kReturnPart};
-  waiting_[arrival.request] = {.arrival = arrival, .item = item};
-  policy_->Admit(now, item);
+void quota_admission::Submit(time_point now, const admission_query& query) {
+  const request_arrived& arrival = query.arrival;
+  const quota_request request{
+      .ticket = arrival.request,
+      .subject = Hash64(arrival.workspace),
+      .limit = {.rate = query.quota.rate,
+                .burst = query.quota.burst,
+                .version = query.version},
+      .weight = RequestWeight(query.quota, query.tokens),
+      .digest = query.digest,
+      .max_wait = query.time_left / kMaxWaitDivisor};
+  waiting_[arrival.request] = {.arrival = arrival, .request = request};
+  policy_->Admit(now, request);
 }
 
 quota_counts& quota_admission::CountsOf(const std::string& workspace) {
-  const bool has_place =
+  const bool has_room =
       counts_.contains(workspace) || counts_.size() < kMaxCounted;
-  return counts_[has_place ? workspace : kOtherWorkspaces];
+  return counts_[has_room ? workspace : kOtherWorkspaces];
 }
 
 std::vector<quota_admission::admission_result> quota_admission::TakeDecided() {
@@ -50,19 +53,19 @@
     waiting_request waited = std::move(found->second);
     waiting_.erase(found);
     quota_counts& counts = CountsOf(waited.arrival.workspace);
-    counts.limit = waited.item.limit;
+    counts.limit = waited.request.limit;
     counts.level = decision.level;
     counts.age = decision.age;
     if (decision.is_admitted) {
       ++counts.admitted;
       charged_[decision.ticket] = {.workspace = waited.arrival.workspace,
-                                   .item = waited.item,
+                                   .request = waited.request,
                                    .runs = 1};
     } else {
       ++counts.refused;
     }
     list.push_back({.arrival = std::move(waited.arrival),
-                    .item = waited.item,
+                    .request = waited.request,
                     .decision = decision});
   }
   return list;
@@ -76,7 +79,7 @@
   charged_request& charged = found->second;
   while (charged.runs < runs) {
     ++charged.runs;
-    policy_->Charge(now, charged.item);
+    policy_->Charge(now, charged.request);
   }
 }
 
@@ -90,10 +93,10 @@
   if (runs >= charged.runs) {
     return;
   }
-  quota_request back = charged.item;
-  back.weight *= -static_cast<double>(charged.runs - runs);
-  CountsOf(charged.workspace).given_back -= back.weight;
-  policy_->Charge(now, back);
+  quota_request refund = charged.request;
+  refund.weight *= -static_cast<double>(charged.runs - runs);
+  CountsOf(charged.workspace).refunded -= refund.weight;
+  policy_->Charge(now, refund);
 }
 
 }  // namespace cuminswitch
--- a/lib/Edge/request_flow.cc
+++ b/lib/Edge/request_flow.cc
@@ -10,33 +10,40 @@
 
 namespace cuminswitch {
 
-static constexpr uint32_t kFirstFailure = 400;
-/// Unsent bytes to a caller at which the upstream is not read any further.
+static constexpr uint32_t kFirstFailureStatus = 400;
+/// Bytes not yet sent to the caller above which reading from the upstream is
+/// paused.
 static constexpr size_t kMaxCallerBacklog = 64UL << 10;
-/// The same where much is held for slow callers already.
-static constexpr size_t kTightCallerBacklog = 4UL << 10;
-/// An upstream's own answer at its deadline should come before ours.
+/// The same while much is already buffered for slow callers.
+static constexpr size_t kMaxCallerBacklogUnderPressure = 4UL << 10;
+/// Delay after the deadline before this daemon responds, so that the upstream's
+/// own time-out response arrives first.
 static constexpr duration kDeadlineSlack = std::chrono::milliseconds(20);
-/// The longest wait for a connection; a host that lives accepts within a few
-/// round trips, a lost opening packet costs a second.
+/// The connect time-out. A host that is alive accepts within a few round trips;
+/// waiting for the retransmission of a lost opening packet would cost a second.
 static constexpr std::chrono::milliseconds kConnectTimeout{400};
-/// A request that may not be repeated takes only a connection that was used
-/// just now: one that its upstream has closed meanwhile would leave in doubt
-/// whether the request ran.
-static constexpr std::chrono::milliseconds kMaxIdleForOnce{1'500};
+/// Maximum idle time of a pooled connection for a request that may not be
+/// repeated. On a connection that the upstream has closed meanwhile it would be
+/// unknown whether the request was executed, so only recently used ones are
+/// reused.
+static constexpr std::chrono::milliseconds kMaxIdleNotRepeatable{1'500};
+/// Maximum idle time of a pooled connection for other requests.
 static constexpr std::chrono::milliseconds kMaxIdle{60'000};
-/// A request that may run again elsewhere goes there when its upstream has been
-/// silent for so many times the time in which an answer is worth everything,
-/// or, within a stream, the longest pause. A plain service answers in a sixth
-/// of that time; an engine under load is late without being dead.
-static constexpr int kTargetsToStall = 2;
-static constexpr int kStreamTargetsToStall = 4;
-static constexpr int kPausesToStall = 3;
-/// Nor is an upstream left before this many times the wait that is usual now:
-/// in an overloaded fleet requests would be taken from engines that are about
-/// to answer.
-static constexpr int kUsualWaitsToStall = 4;
-/// When to come back after a wait that was in vain.
+/// A repeatable request is retried at another upstream when no bytes have
+/// arrived for the route's target latency times `kStallTargetFactor`
+/// (`kStreamStallTargetFactor` for streams) or, after the first event of a
+/// stream, for the maximum event gap times `kStallGapFactor`. A plain service
+/// responds within a sixth of its stall timeout; an engine under load is late
+/// without having failed.
+static constexpr int kStallTargetFactor = 2;
+static constexpr int kStreamStallTargetFactor = 4;
+static constexpr int kStallGapFactor = 3;
+/// The stall timeout is at least this many times the current mean wait for the
+/// first byte. In an overloaded fleet, requests would otherwise be taken from
+/// engines that are about to respond.
+static constexpr int kStallMeanFactor = 4;
+/// `Retry-After` for a request whose deadline passed while it waited for an
+/// upstream.
 static constexpr duration kQueueRetryAfter = std::chrono::milliseconds(500);
 
 request_flow::request_flow(options opts, const parts& with)
@@ -61,11 +68,11 @@
   attempt_ = action.attempt;
   upstream_ = action.upstream;
   address_ = action.address;
-  usual_first_byte_ = action.mean_first_byte;
+  mean_first_byte_ = action.mean_first_byte;
   sent_at_ = now;
   ++attempts_;
   ++runs_;
-  answer_ = {};
+  response_ = {};
   splitter_.DropPartial();
   dispatch_attributes attributes{
       .upstream = action.upstream,
@@ -92,30 +99,30 @@
        .connect_timeout = kConnectTimeout,
        .max_idle = action.after_failure          ? std::chrono::milliseconds(0)
                    : options_.route->MayRepeat() ? kMaxIdle
-                                                 : kMaxIdleForOnce},
+                                                 : kMaxIdleNotRepeatable},
       *this);
-  AwaitBytes();
+  RestartStallTimer();
 }
 
-void request_flow::AwaitBytes() {
+void request_flow::RestartStallTimer() {
   const route_spec& route = *options_.route;
-  // A timer of the attempt before would cut this one.
+  // The timer of the previous attempt would otherwise end this one.
   stall_timer_.Cancel();
   if (!route.MayRepeat() || attempts_ >= route.max_attempts) {
     return;
   }
-  stall_timer_.Start(StallTime());
+  stall_timer_.Start(StallTimeout());
 }
 
-duration request_flow::StallTime() const {
+duration request_flow::StallTimeout() const {
   const route_spec& route = *options_.route;
   if (first_byte_at_) {
-    return route.max_event_gap * kPausesToStall;
+    return route.max_event_gap * kStallGapFactor;
   }
   const duration target =
       route.target_latency *
-      (route.IsStream() ? kStreamTargetsToStall : kTargetsToStall);
-  return std::max(target, usual_first_byte_ * kUsualWaitsToStall);
+      (route.IsStream() ? kStreamStallTargetFactor : kStallTargetFactor);
+  return std::max(target, mean_first_byte_ * kStallMeanFactor);
 }
 
 void request_flow::OnStall() {
@@ -123,14 +130,14 @@
     return;
   }
   if (!with_.owner.CanPlaceElsewhere(*this)) {
-    // With nowhere to go the request would only be given up on; its answer may
-    // yet come.
-    stall_timer_.Start(StallTime());
+    // Without another upstream the request would only fail, and its response
+    // may still arrive.
+    stall_timer_.Start(StallTimeout());
     return;
   }
   call_.reset();
   with_.owner.OnConnectionLost(address_);
-  Judge(attempt_result::kStalled);
+  ProcessAttemptResult(attempt_result::kStalled);
 }
 
 void request_flow::CancelAttempt() {
@@ -140,33 +147,33 @@
 }
 
 void request_flow::OnResponseHead(const message_head& head) {
-  answer_.head = head;
-  answer_.attributes = with_.protocol.ReadAnswer(head);
+  response_.head = head;
+  response_.attributes = with_.protocol.ReadAnswer(head);
   with_.owner.OnFlowFeedback(
-      *this, SelectFeedback(answer_.attributes, options_.request.attempt));
+      *this, SelectFeedback(response_.attributes, options_.request.attempt));
 }
 
-/// Whether the head is of a success that can be this attempt's.
-static bool IsGenuineSuccess(const message_head& head,
-                             const response_attributes& attributes,
-                             const std::string& attempt) {
-  static constexpr uint32_t kFirstSuccess = 200;
-  static constexpr uint32_t kPastSuccess = 300;
-  return head.status >= kFirstSuccess && head.status < kPastSuccess &&
-         attributes.is_signed && attributes.attempt == attempt &&
-         !head.Has("Content-Encoding");
+/// Whether the head is a success response that belongs to \p attempt.
+static bool IsVerifiedSuccess(const message_head& head,
+                              const response_attributes& attributes,
+                              const std::string& attempt) {
+  static constexpr uint32_t kFirstSuccessStatus = 200;
+  static constexpr uint32_t kEndOfSuccessStatus = 300;
+  return head.status >= kFirstSuccessStatus &&
+         head.status < kEndOfSuccessStatus && attributes.is_signed &&
+         attributes.attempt == attempt && !head.Has("Content-Encoding");
 }
 
 bool request_flow::IsForwarding() const {
   return options_.route->IsStream() &&
-         IsGenuineSuccess(answer_.head, answer_.attributes,
-                          options_.request.attempt);
+         IsVerifiedSuccess(response_.head, response_.attributes,
+                           options_.request.attempt);
 }
 
 void request_flow::OnResponseBody(std::string_view data) {
-  AwaitBytes();
+  RestartStallTimer();
   if (!IsForwarding()) {
-    answer_.body.append(data);
+    response_.body.append(data);
     return;
   }
   const std::string_view events = splitter_.Add(data);
@@ -181,15 +188,17 @@
     first_byte_at_ = now;
     with_.owner.OnFlowEvent(attempt_first_byte{.attempt = attempt_});
   } else {
-    longest_pause_ = std::max<duration>(longest_pause_, now - forwarded_at_);
+    longest_event_gap_ =
+        std::max<duration>(longest_event_gap_, now - forwarded_at_);
   }
   forwarded_at_ = now;
   if (!is_head_sent_) {
-    SendAnswerHead(std::nullopt);
+    SendResponseHead(std::nullopt);
   }
   options_.exchange->SendBody(data);
-  const size_t most =
-      with_.pool.account().IsTight() ? kTightCallerBacklog : kMaxCallerBacklog;
+  const size_t most = with_.pool.account().IsTight()
+                          ? kMaxCallerBacklogUnderPressure
+                          : kMaxCallerBacklog;
   if (options_.exchange->PendingBytes() > most && call_ != nullptr) {
     is_paused_ = true;
     call_->PauseReading();
@@ -202,15 +211,15 @@
   }
 }
 
-void request_flow::SendAnswerHead(std::optional<uint64_t> length) {
+void request_flow::SendResponseHead(std::optional<uint64_t> length) {
   is_head_sent_ = true;
   http_headers headers;
-  for (const http_header& item : answer_.head.headers) {
-    if (!IsConnectionField(answer_.head, item.name)) {
+  for (const http_header& item : response_.head.headers) {
+    if (!IsConnectionField(response_.head, item.name)) {
       headers.push_back(item);
     }
   }
-  options_.exchange->SendHead(answer_.head.status, headers,
+  options_.exchange->SendHead(response_.head.status, headers,
                               {.content_length = length});
 }
 
@@ -225,7 +234,7 @@
     case upstream_call_result::kComplete:
       break;
   }
-  const response_attributes& attributes = answer_.attributes;
+  const response_attributes& attributes = response_.attributes;
   const bool is_other = !attributes.attempt.empty() &&
                         attributes.attempt != options_.request.attempt;
   if (is_other) {
@@ -237,102 +246,104 @@
   if (attributes.was_not_run) {
     return attempt_result::kRefused;
   }
-  if (IsGenuineSuccess(answer_.head, attributes, options_.request.attempt)) {
+  if (IsVerifiedSuccess(response_.head, attributes, options_.request.attempt)) {
     return attempt_result::kSuccess;
   }
-  return answer_.head.status >= kFirstFailure ? attempt_result::kFailure
-                                              : attempt_result::kUnrelated;
+  return response_.head.status >= kFirstFailureStatus
+             ? attempt_result::kFailure
+             : attempt_result::kUnrelated;
 }
 
 void request_flow::OnCallEnd(upstream_call_result end) {
-  // The call is on the stack; it is destroyed with the next one or the flow.
+  // The call is still on the stack, so it is destroyed only when this function
+  // returns.
   const std::unique_ptr<upstream_call> ended = std::move(call_);
   stall_timer_.Cancel();
   if (end == upstream_call_result::kBroken ||
       end == upstream_call_result::kNotConnected) {
     with_.owner.OnConnectionLost(address_);
   }
-  Judge(Classify(end));
+  ProcessAttemptResult(Classify(end));
 }
 
-void request_flow::Judge(attempt_result answer) {
+void request_flow::ProcessAttemptResult(attempt_result result) {
   const response_progress progress =
       is_head_sent_ ? response_progress::kBegun : response_progress::kNothing;
-  const attempt_disposition verdict =
-      ClassifyAttempt(answer, progress, options_.route->MayRepeat());
-  if (verdict.result == outcome::kNotRun) {
+  const attempt_disposition disposition =
+      ClassifyAttempt(result, progress, options_.route->MayRepeat());
+  if (disposition.result == outcome::kNotRun) {
     --runs_;
   } else {
     may_have_run_ = true;
   }
-  if (answer != attempt_result::kSuccess) {
-    with_.owner.OnFlowAttemptFailed(*this, answer, answer_.head.status);
+  if (result != attempt_result::kSuccess) {
+    with_.owner.OnFlowAttemptFailed(*this, result, response_.head.status);
   }
-  switch (verdict.action) {
+  switch (disposition.action) {
     case attempt_action::kForward:
-      DeliverWhole();
+      SendCompleteResponse();
       break;
     case attempt_action::kRetryOrForward:
-      kept_failure_ = std::move(answer_);
+      retained_failure_ = std::move(response_);
       break;
     case attempt_action::kRetry:
       break;
     case attempt_action::kReportUnknown:
-      ReplyOwn({.result = outcome::kUnknown,
-                .status = status_code::kBadGateway,
-                .reason = "answer_broken"});
+      ReplyLocally({.result = outcome::kUnknown,
+                    .status = status_code::kBadGateway,
+                    .reason = "answer_broken"});
       break;
     case attempt_action::kAbort:
-      CutOff("answer_broken");
+      AbortResponse("answer_broken");
       break;
   }
-  TellRouter(answer, verdict);
+  ReportAttemptEnd(result, disposition);
 }
 
-void request_flow::TellRouter(attempt_result answer,
-                              const attempt_disposition& verdict) {
-  // A failure that is handed on ran to its end, which is all the router needs.
+void request_flow::ReportAttemptEnd(attempt_result result,
+                                    const attempt_disposition& disposition) {
+  // For a forwarded failure the router only needs to know that it was executed.
   const bool is_final = has_ended_;
   with_.owner.OnFlowEvent(
       attempt_ended{.attempt = attempt_,
-                    .result = verdict.result,
-                    .refused_busy = answer == attempt_result::kRefused ||
-                                    answer == attempt_result::kMismatch,
-                    .unreachable = answer == attempt_result::kNotConnected,
-                    .failed_in_run = answer == attempt_result::kFailure,
-                    .broke_off = answer == attempt_result::kBroken,
+                    .result = disposition.result,
+                    .refused_busy = result == attempt_result::kRefused ||
+                                    result == attempt_result::kMismatch,
+                    .unreachable = result == attempt_result::kNotConnected,
+                    .failed_in_run = result == attempt_result::kFailure,
+                    .broke_off = result == attempt_result::kBroken,
                     .answer_begun = is_final,
                     .answer = {}});
 }
 
-void request_flow::DeliverWhole() {
+void request_flow::SendCompleteResponse() {
   if (!first_byte_at_) {
     first_byte_at_ = ReadBootClock();
     with_.owner.OnFlowEvent(attempt_first_byte{.attempt = attempt_});
   }
   if (IsForwarding()) {
-    const std::string_view rest = splitter_.TakeRest();
+    const std::string_view rest = splitter_.ApplyBackoff();
     if (!is_head_sent_) {
-      SendAnswerHead(std::nullopt);
+      SendResponseHead(std::nullopt);
     }
     options_.exchange->SendBody(rest);
   } else {
-    SendAnswerHead(answer_.body.size());
-    options_.exchange->SendBody(answer_.body);
+    SendResponseHead(response_.body.size());
+    options_.exchange->SendBody(response_.body);
   }
   options_.exchange->Finish();
   End({.result = outcome::kAnswered,
-       .status = answer_.head.status,
+       .status = response_.head.status,
        .reason = "answered"});
 }
 
-void request_flow::DeliverKept() {
-  answer_ = std::move(*kept_failure_);
-  SendAnswerHead(answer_.body.size());
-  options_.exchange->SendBody(answer_.body);
+void request_flow::SendRetainedFailure() {
+  response_ = std::move(*retained_failure_);
+  SendResponseHead(response_.body.size());
+  options_.exchange->SendBody(response_.body);
   options_.exchange->Finish();
   End({.result = outcome::kAnswered,
-       .status = answer_.head.status,
+       .status = response_.head.status,
        .reason = "upstream_failure"});
 }
 
@@ -341,11 +352,11 @@
     return;
   }
   if (is_head_sent_) {
-    CutOff("no_upstream_to_go_on");
+    AbortResponse("no_upstream_to_go_on");
     return;
   }
-  if (kept_failure_) {
-    DeliverKept();
+  if (retained_failure_) {
+    SendRetainedFailure();
     return;
   }
   if (action.result == outcome::kNotRun && !may_have_run_) {
@@ -353,19 +364,19 @@
     if (wait == duration(0)) {
       wait = std::chrono::seconds(action.retry_after_seconds);
     }
-    ReplyOwn({.result = outcome::kNotRun,
-              .status = action.status,
-              .reason = action.message,
-              .retry_after = wait,
-              .wait = action.wait ? &*action.wait : nullptr});
+    ReplyLocally({.result = outcome::kNotRun,
+                  .status = action.status,
+                  .reason = action.message,
+                  .retry_after = wait,
+                  .wait = action.wait ? &*action.wait : nullptr});
     return;
   }
-  ReplyOwn({.result = outcome::kUnknown,
-            .status = status_code::kBadGateway,
-            .reason = action.message});
+  ReplyLocally({.result = outcome::kUnknown,
+                .status = status_code::kBadGateway,
+                .reason = action.message});
 }
 
-void request_flow::ReplyOwn(const flow_result& end) {
+void request_flow::ReplyLocally(const flow_result& end) {
   http_headers headers;
   if (end.retry_after > duration(0)) {
     headers.push_back(RetryAfter(end.retry_after));
@@ -374,7 +385,7 @@
   End(end);
 }
 
-void request_flow::CutOff(std::string_view reason) {
+void request_flow::AbortResponse(std::string_view reason) {
   options_.exchange->Abort();
   End({.result = outcome::kUnknown, .status = 0, .reason = reason});
 }
@@ -387,22 +398,22 @@
   const bool is_sent = is_running || may_have_run_;
   call_.reset();
   if (is_head_sent_) {
-    CutOff("deadline");
-  } else if (kept_failure_) {
-    DeliverKept();
+    AbortResponse("deadline");
+  } else if (retained_failure_) {
+    SendRetainedFailure();
   } else if (is_sent) {
-    ReplyOwn({.result = outcome::kUnknown,
-              .status = status_code::kGatewayTimeout,
-              .reason = "deadline"});
+    ReplyLocally({.result = outcome::kUnknown,
+                  .status = status_code::kGatewayTimeout,
+                  .reason = "deadline"});
   } else {
-    ReplyOwn({.result = outcome::kNotRun,
-              .status = status_code::kUnavailable,
-              .reason = "deadline_in_queue",
-              .retry_after = kQueueRetryAfter});
+    ReplyLocally({.result = outcome::kNotRun,
+                  .status = status_code::kUnavailable,
+                  .reason = "deadline_in_queue",
+                  .retry_after = kQueueRetryAfter});
   }
   if (is_running) {
-    // Not the first byte of an answer in all its time: that counts against the
-    // upstream as a failed answer does.
+    // No complete response arrived before the deadline, which counts against
+    // the upstream like a failure response.
     with_.owner.OnFlowEvent(attempt_ended{.attempt = attempt_,
                                           .result = outcome::kUnknown,
                                           .failed_in_run = true,
@@ -414,7 +425,7 @@
 }
 
 void request_flow::OnCallerGone() {
-  // The upstream sees its connection close, and stops to work.
+  // The upstream sees its connection close and stops executing the request.
   call_.reset();
   options_.exchange = nullptr;
   End({.result = outcome::kUnknown, .status = 0, .reason = "caller_gone"});
--- a/lib/Edge/request_log.cc
+++ b/lib/Edge/request_log.cc
@@ -35,21 +35,21 @@
 }
 
 log_line DescribeAttemptFailure(const request_flow& flow,
-                                attempt_result answer,
+                                attempt_result result,
                                 uint32_t status) {
   log_line line("attempt_failed");
   line.Add("id", flow.request().attempt)
       .Add("upstream", flow.upstream())
-      .Add("answer", ToString(answer))
+      .Add("answer", ToString(result))
       .Add("status", status);
-  if (answer == attempt_result::kBroken || answer == attempt_result::kStalled) {
-    // The id is new with each attempt of the caller; this stays the same.
+  if (result == attempt_result::kBroken || result == attempt_result::kStalled) {
+    // The id changes with each attempt of the caller; the digest does not.
     line.Add("digest", ToHex(flow.digest()));
   }
   return line;
 }
 
-/// Adds what a refusal for lateness was decided from.
+/// Adds the estimate behind a refusal because the response would be late.
 static void AddWait(const expected_wait& wait, log_line& line) {
   line.Add("best_upstream", wait.upstream)
       .Add("expected_ms", wait.Remaining())
@@ -76,7 +76,7 @@
       .Add("took_ms", now - flow.arrived());
   if (flow.first_byte_at()) {
     line.Add("first_byte_ms", *flow.first_byte_at() - flow.arrived())
-        .Add("longest_pause_ms", flow.longest_pause());
+        .Add("longest_pause_ms", flow.longest_event_gap());
   }
   if (end.result != outcome::kAnswered) {
     line.Add("digest", ToHex(flow.digest()));
@@ -91,15 +91,15 @@
 }
 
 log_line DescribeQuotaRefusal(const request_flow& flow,
-                              const quota_request& item,
+                              const quota_request& request,
                               const quota_decision& decision) {
   log_line line("quota_refused");
   line.Add("id", flow.request().attempt)
       .Add("workspace", flow.workspace())
-      .Add("configuration", item.limit.version)
-      .Add("rate", static_cast<int64_t>(item.limit.rate))
-      .Add("burst", static_cast<int64_t>(item.limit.burst))
-      .Add("weight", static_cast<int64_t>(item.weight))
+      .Add("configuration", request.limit.version)
+      .Add("rate", static_cast<int64_t>(request.limit.rate))
+      .Add("burst", static_cast<int64_t>(request.limit.burst))
+      .Add("weight", static_cast<int64_t>(request.weight))
       .Add("left", static_cast<int64_t>(decision.level))
       .Add("left_age_ms", decision.age)
       .Add("share_percent", static_cast<int64_t>(decision.share * kPercent))
@@ -116,8 +116,8 @@
   log_line line(decision.is_admitted ? "limit_granted" : "limit_turned_away");
   line.Add("id", flow.request().attempt)
       .Add("upstream", upstream)
-      .Add("requests_per_s", decided.request.rate)
-      .Add("limit_age_ms", decided.request.limit_age)
+      .Add("requests_per_s", decided.permit.rate)
+      .Add("limit_age_ms", decided.permit.limit_age)
       .Add("left", decision.level)
       .Add("left_age_ms", decision.age)
       .Add("share_percent", static_cast<int64_t>(decision.share * kPercent))
--- a/lib/Edge/router_settings.cc
+++ b/lib/Edge/router_settings.cc
@@ -2,27 +2,30 @@
 
 namespace cuminswitch {
 
-/// Of the bound on repeats; the rest covers what other daemons cannot know.
+/// Fractions of the platform's bounds on retries that are used; the rest covers
+/// retries that other daemons do not know of yet.
 static constexpr double kRetryShareUsed = 0.8;
 static constexpr double kRetryBurstUsed = 0.7;
-/// Left of the time in which old weights may be used, beyond the wait in an
-/// engine's queue: a naming is learnt up to 0.8 s late where peers hand it on
-/// over slow links (84 daemons). With 1.8 s, which covered the queue too, an
-/// idle fleet refused all for 2 s when the leader had died just before a
-/// naming.
+/// Margin to the end of the time in which old weights may be used, not counting
+/// the wait in an engine's queue. The publication of a version arrives up to
+/// 0.8 s late where peers relay it over slow links (84 daemons). With 1.8 s,
+/// which covered the queue too, an idle fleet refused all requests for 2 s when
+/// the leader had failed just before a publication.
 static constexpr duration kOldWeightsMargin = std::chrono::milliseconds(1100);
-/// How long a daemon that has just started uses older weights: when they were
-/// superseded it does not know.
+/// How long a daemon that has just started uses older weights; it does not know
+/// when they were superseded.
 static constexpr duration kOldWeightsAfterStart =
     std::chrono::milliseconds(2300);
-/// An attempt that has not begun by then is taken back, so that it does not
-/// begin after the bound, counted from a naming that was learnt late.
-static constexpr duration kLastStartMargin = std::chrono::milliseconds(900);
-/// Engines with new weights are preferred from then on: answers of old ones
-/// lose value from 1.5 s after the naming.
+/// An attempt on old weights that has not begun this long before the bound is
+/// cancelled. The bound is counted from when the publication arrived here,
+/// which may be late, so the attempt could otherwise begin after the actual
+/// bound.
+static constexpr duration kStartLimitMargin = std::chrono::milliseconds(900);
+/// Time after a publication from which engines with new weights are preferred;
+/// responses of old weights lose value from 1.5 s after the publication.
 static constexpr duration kOldWeightsGrace = std::chrono::milliseconds(1200);
-/// Prefixes remembered, own parts of prompts included; about 3 MB, and half a
-/// minute of the traffic of the largest deployment.
+/// Number of prefixes in the index, including those that belong to one prompt:
+/// about 3 MB, and half a minute of the traffic of the largest deployment.
 static constexpr size_t kPrefixCapacity = 16'384;
 
 request_router::options MakeRouterOptions(const router_settings& opts) {
@@ -42,7 +45,7 @@
       .first_version_since =
           opts.now -
           (opts.old_weights_time - kOldWeightsMargin - kOldWeightsAfterStart),
-      .old_weights_limit = opts.old_weights_time - kLastStartMargin};
+      .old_weights_limit = opts.old_weights_time - kStartLimitMargin};
   options.refuse_without_upstream = true;
   options.reports_placements = true;
   options.quarantine.keeps_events = true;
--- a/lib/Edge/routing_config_translator.cc
+++ b/lib/Edge/routing_config_translator.cc
@@ -8,14 +8,17 @@
 
 namespace cuminswitch {
 
-/// The platform sets no limit on a workspace's requests in flight.
+/// Stands for no limit; the platform does not limit a workspace's requests in
+/// flight.
 static constexpr uint32_t kNoWorkspaceLimit = 1'000'000;
-/// Of a link's rate; copies queue behind one another, and from another failure
-/// domain or the store they take about twice as long.
+/// Fraction of a link's rate that a copy is expected to get. Copies queue
+/// behind one another, and those from another failure domain or the store take
+/// about twice as long.
 static constexpr double kCopyRateUsed = 0.025;
-/// Leaves 32 bits of an incarnation: what a frame between daemons has room for.
+/// Shortens an incarnation to the 32 bits that a frame between daemons has for
+/// it.
 static constexpr int kIncarnationShift = 32;
-/// The name of the workspace that requests without credential belong to.
+/// The workspace of requests without a credential; its name is empty.
 static constexpr std::string_view kPublicWorkspace;
 
 std::string TargetName(std::string_view service, std::string_view model) {
@@ -30,12 +33,12 @@
   return rank == 0 ? priority_class::kInteractive : priority_class::kStandard;
 }
 
-/// The newest version of \p model, as text; empty where none is known.
-static std::string NewestVersion(const fleet_snapshot& knowledge,
-                                 const weights_version_counter& held,
+/// Returns the newest version of \p model as text; empty if none is known.
+static std::string NewestVersion(const fleet_snapshot& snapshot,
+                                 const weights_version_counter& counter,
                                  std::string_view model) {
-  uint64_t newest = held.Newest(model);
-  for (const weights_version& item : knowledge.wanted_weights) {
+  uint64_t newest = counter.Newest(model);
+  for (const weights_version& item : snapshot.wanted_weights) {
     if (item.model == model) {
       newest = std::max(newest, item.version);
     }
@@ -43,12 +46,13 @@
   return newest == 0 ? std::string() : std::to_string(newest);
 }
 
-/// Lists the stores with the rates that they have for \p engines' prefixes.
+/// Lists the cache stores with their copy rates, in tokens per second, for the
+/// prefixes of \p engines.
 static std::vector<cache_store_spec> ListCacheStores(
-    const routing_config& plan,
+    const routing_config& routing,
     const service_config& engines) {
   std::vector<cache_store_spec> stores;
-  for (const service_config& service : plan.services) {
+  for (const service_config& service : routing.services) {
     if (service.cache_store) {
       const double rate =
           engines.token_megabits > 0
@@ -78,19 +82,19 @@
 }
 
 std::shared_ptr<const configuration> TranslateRoutingConfig(
-    const fleet_snapshot& knowledge,
-    const weights_version_counter& held) {
+    const fleet_snapshot& snapshot,
+    const weights_version_counter& counter) {
   auto config = std::make_shared<configuration>();
   std::vector<std::string> targets;
-  for (const service_config& service : knowledge.plan->services) {
+  for (const service_config& service : snapshot.plan->services) {
     config->services.push_back({.name = service.name, .repeatable = true});
     targets.push_back(service.name);
     for (const std::string& model : service.models) {
       config->models.push_back(
           {.name = TargetName(service.name, model),
-           .version = NewestVersion(knowledge, held, model),
+           .version = NewestVersion(snapshot, counter, model),
            .adapter = {},
-           .cache_stores = ListCacheStores(*knowledge.plan, service),
+           .cache_stores = ListCacheStores(*snapshot.plan, service),
            .copy_rate = service.copy_rate * kCopyRateUsed,
            .cache_tokens = service.cache_tokens});
       targets.push_back(config->models.back().name);
@@ -99,7 +103,7 @@
   config->workspaces.push_back({.name = std::string(kPublicWorkspace),
                                 .uses = targets,
                                 .max_in_flight = kNoWorkspaceLimit});
-  for (const workspace_config& item : knowledge.plan->workspaces) {
+  for (const workspace_config& item : snapshot.plan->workspaces) {
     config->workspaces.push_back({.name = item.name,
                                   .uses = targets,
                                   .max_in_flight = kNoWorkspaceLimit});
@@ -123,10 +127,10 @@
   for (const weights_version& item : entry.weights) {
     report.models.push_back({.name = TargetName(entry.service, item.model),
                              .version = std::to_string(item.version)});
-    // New weights discard what is cached, as a restart does.
+    // New weights discard the cached prefixes, as a restart does.
     report.incarnation = CombineHash(report.incarnation, item.version);
   }
-  // Peers tell it with every placement, so it is kept short.
+  // Peers send the incarnation with every placement, so it is shortened.
   report.incarnation >>= kIncarnationShift;
   return report;
 }
--- a/lib/Edge/upstream_feedback.cc
+++ b/lib/Edge/upstream_feedback.cc
@@ -2,29 +2,30 @@
 
 namespace cuminswitch {
 
-upstream_feedback SelectFeedback(const response_attributes& said,
+upstream_feedback SelectFeedback(const response_attributes& attributes,
                                  std::string_view attempt) {
-  upstream_feedback notices{
-      .load = said.load, .limit = std::nullopt, .backoff = std::nullopt};
-  // A late answer to another attempt says nothing of this upstream.
-  if (said.attempt != attempt) {
-    return notices;
+  upstream_feedback feedback{
+      .load = attributes.load, .limit = std::nullopt, .backoff = std::nullopt};
+  // A late response to another attempt is not evidence about this upstream.
+  if (attributes.attempt != attempt) {
+    return feedback;
   }
-  // A refusal may come from where nothing of the limit is known, so one that
-  // names none does not end it: the upstream would get a burst after each.
-  if (said.is_signed || said.limit.kind != notice_kind::kNone) {
-    notices.limit = said.limit;
+  // A refusal may come from a component that does not know the rate limit, so a
+  // refusal without a limit does not remove it. Otherwise the upstream would
+  // get a burst after each refusal.
+  if (attributes.is_signed || attributes.limit.kind != notice_kind::kNone) {
+    feedback.limit = attributes.limit;
   }
-  notices.has_run = said.is_signed;
-  // The answer may be of another upstream, which has the address now.
-  if (said.is_mismatch) {
-    return notices;
+  feedback.has_run = attributes.is_signed;
+  // The response may come from another upstream that has the address now.
+  if (attributes.is_mismatch) {
+    return feedback;
   }
-  if (said.was_not_run && said.backoff.kind != notice_kind::kNone) {
-    notices.backoff = said.backoff;
+  if (attributes.was_not_run && attributes.backoff.kind != notice_kind::kNone) {
+    feedback.backoff = attributes.backoff;
   }
-  notices.is_leaving = said.is_leaving;
-  return notices;
+  feedback.is_leaving = attributes.is_leaving;
+  return feedback;
 }
 
 }  // namespace cuminswitch
--- a/lib/Edge/upstream_limit_admission.cc
+++ b/lib/Edge/upstream_limit_admission.cc
@@ -4,12 +4,12 @@
 
 namespace cuminswitch {
 
-/// An owner keeps a daemon's turn if it comes within this time.
-static constexpr duration kTurnPatience = std::chrono::seconds(10);
+/// An owner reserves a send slot for a daemon only within this time.
+static constexpr duration kMaxSendSlotWait = std::chrono::seconds(10);
 
-permit_reply upstream_limit_admission::permit_result::Answer() const {
-  return {.request = request.request,
-          .upstream = request.upstream,
+permit_reply upstream_limit_admission::permit_result::ToReply() const {
+  return {.request = permit.request,
+          .upstream = permit.upstream,
           .is_granted = decision.is_admitted,
           .retry_after = decision.retry_after};
 }
@@ -19,23 +19,24 @@
   return {.subject = upstream,
           .limit = QuotaOfLimit(rate),
           .weight = 1,
-          .digest = turn_};
+          .digest = requester_id_};
 }
 
-void upstream_limit_admission::Ask(time_point now,
-                                   const permit_request& question) {
-  quota_request item = MakeRequest(question.upstream, question.rate);
+void upstream_limit_admission::Submit(time_point now,
+                                      const permit_request& request) {
+  quota_request item = MakeRequest(request.upstream, request.rate);
   item.ticket = ++next_ticket_;
-  item.limit_age = question.limit_age;
-  // A turn that is kept for a daemon whose requests go elsewhere meanwhile is
-  // lost to all: a third of the limit where hundreds of daemons ask.
-  item.max_wait = question.waits ? kTurnPatience : duration(0);
-  waiting_[item.ticket] = question;
+  item.limit_age = request.limit_age;
+  // A send slot reserved for a daemon whose requests go to other upstreams
+  // meanwhile is unused: a third of the limit where hundreds of daemons send
+  // requests.
+  item.max_wait = request.waits ? kMaxSendSlotWait : duration(0);
+  waiting_[item.ticket] = request;
   policy_->Admit(now, item);
 }
 
-void upstream_limit_admission::Return(time_point now,
-                                      const permit_return& unused) {
+void upstream_limit_admission::Release(time_point now,
+                                       const permit_return& unused) {
   ++totals_.unused;
   quota_request item = MakeRequest(unused.upstream, unused.rate);
   item.weight = -1;
@@ -51,7 +52,7 @@
       continue;
     }
     ++(decision.is_admitted ? totals_.granted : totals_.denied);
-    list.push_back({.request = found->second, .decision = decision});
+    list.push_back({.permit = found->second, .decision = decision});
     waiting_.erase(found);
   }
   return list;
--- a/lib/Edge/weights_version_counter.cc
+++ b/lib/Edge/weights_version_counter.cc
@@ -4,15 +4,15 @@
 
 namespace cuminswitch {
 
-void weights_version_counter::Add(std::span<const weights_version> held) {
-  for (const weights_version& item : held) {
+void weights_version_counter::Add(std::span<const weights_version> weights) {
+  for (const weights_version& item : weights) {
     newest_changes_ += item.version > Newest(item.model) ? 1 : 0;
     ++counts_[item.model][item.version];
   }
 }
 
-void weights_version_counter::Remove(std::span<const weights_version> held) {
-  for (const weights_version& item : held) {
+void weights_version_counter::Remove(std::span<const weights_version> weights) {
+  for (const weights_version& item : weights) {
     std::map<uint64_t, size_t>& versions = counts_[item.model];
     const auto found = versions.find(item.version);
     if (found == versions.end() || --found->second > 0) {
--- a/unittests/Edge/attempt_disposition_test.cc
+++ b/unittests/Edge/attempt_disposition_test.cc
@@ -1,5 +1,5 @@
-// Every cell of the table: what came back, how far the caller's answer is, and
-// whether the request may run again.
+// Tests ClassifyAttempt for every combination of an attempt's result, the
+// progress of the caller's response, and whether the request may be repeated.
 #include "cuminswitch/Edge/attempt_disposition.h"
 
 #include <gtest/gtest.h>
@@ -9,20 +9,20 @@
 namespace cuminswitch {
 namespace {
 
-struct cell {
-  attempt_result answer;
+struct combination {
+  attempt_result attempt;
   response_progress progress;
   bool may_repeat;
   outcome result;
   attempt_action action;
 };
 
-TEST(attempt_disposition_test, EveryCell) {
+TEST(attempt_disposition_test, ClassifiesEveryCombination) {
   using enum attempt_result;
   using enum attempt_action;
   constexpr auto kNone = response_progress::kNothing;
   constexpr auto kSome = response_progress::kBegun;
-  const std::vector<cell> table = {
+  const std::vector<combination> table = {
       {kSuccess, kNone, false, outcome::kAnswered, kForward},
       {kSuccess, kNone, true, outcome::kAnswered, kForward},
       {kSuccess, kSome, false, outcome::kAnswered, kForward},
@@ -57,26 +57,26 @@
       {kUnrelated, kSome, true, outcome::kUnknown, kRetry},
   };
   EXPECT_EQ(table.size(), 8U * 2 * 2);
-  for (const cell& item : table) {
-    const attempt_disposition verdict =
-        ClassifyAttempt(item.answer, item.progress, item.may_repeat);
+  for (const combination& item : table) {
+    const attempt_disposition disposition =
+        ClassifyAttempt(item.attempt, item.progress, item.may_repeat);
     const auto where = testing::Message()
-                       << "answer " << static_cast<int>(item.answer)
+                       << "result " << static_cast<int>(item.attempt)
                        << " progress " << static_cast<int>(item.progress)
                        << " may repeat " << item.may_repeat;
-    EXPECT_EQ(verdict.result, item.result) << where;
-    EXPECT_EQ(verdict.action, item.action) << where;
+    EXPECT_EQ(disposition.result, item.result) << where;
+    EXPECT_EQ(disposition.action, item.action) << where;
   }
 }
 
-// Symptom: a caller repeats an order that has run.
-// Cause: a broken answer was told as "not run".
-TEST(attempt_disposition_test, NothingThatMayHaveRunIsToldAsNotRun) {
+// Symptom: a caller repeats an order that was already executed.
+// Cause: a truncated response was reported as "not run".
+TEST(attempt_disposition_test, NeverReportsPossiblyExecutedRequestAsNotRun) {
   using enum attempt_result;
-  for (const attempt_result answer :
+  for (const attempt_result result :
        {kSuccess, kFailure, kBroken, kStalled, kUnrelated}) {
     for (const bool may_repeat : {false, true}) {
-      EXPECT_NE(ClassifyAttempt(answer, response_progress::kNothing, may_repeat)
+      EXPECT_NE(ClassifyAttempt(result, response_progress::kNothing, may_repeat)
                     .result,
                 outcome::kNotRun);
     }
--- a/unittests/Edge/connection_share_test.cc
+++ b/unittests/Edge/connection_share_test.cc
@@ -1,9 +1,10 @@
-// How many connections of a whole fleet an upstream holds idle.
+// Tests the sum of idle connections that a whole fleet keeps to an upstream.
 //
-// Symptom: an upstream resets new connections although few requests run there.
+// Symptom: an upstream resets new connections although it executes few
+// requests.
 // Sequence: hundreds of daemons each keep the connections that they once used.
-// Cause: the upstream's bound holds for all of them together, and each daemon
-// kept to a bound of its own.
+// Cause: the upstream's maximum applies to all daemons together, but each
+// daemon applied a maximum of its own.
 #include "cuminswitch/Edge/connection_share.h"
 
 #include <gtest/gtest.h>
@@ -25,7 +26,7 @@
   return sum;
 }
 
-TEST(connection_share_test, TheFleetLeavesRoomForWhatRuns) {
+TEST(connection_share_test, FleetLeavesConnectionsForRunningRequests) {
   for (const size_t daemons : {1, 8, 63, 68, 300, 360, 600}) {
     for (const auto& [connections, slots] :
          {std::pair(370U, 64U), {110U, 8U}, {110U, 32U}, {64U, 60U}}) {
@@ -40,7 +41,7 @@
   }
 }
 
-TEST(connection_share_test, AFewDaemonsKeepWhatTheyUse) {
+TEST(connection_share_test, SmallFleetKeepsIdleConnections) {
   EXPECT_EQ(IdleShare({.max_connections = 370, .slots = 64, .daemons = 8}),
             16U);
   EXPECT_GE(IdleShare({.max_connections = 110, .slots = 8, .daemons = 8}), 9U);
--- a/unittests/Edge/event_splitter_test.cc
+++ b/unittests/Edge/event_splitter_test.cc
@@ -1,4 +1,4 @@
-// Whole events out of any pieces.
+// Tests that a stream that arrives in pieces is split into complete events.
 #include "cuminswitch/Edge/event_splitter.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace cuminswitch {
 namespace {
 
-TEST(event_splitter_test, HandsOnWholeEventsOnly) {
+TEST(event_splitter_test, ReturnsCompleteEventsOnly) {
   event_splitter splitter;
   EXPECT_EQ(splitter.Add("id: 1\ndata: a\n"), "");
   EXPECT_EQ(splitter.Add("\nid: 2\nda"), "id: 1\ndata: a\n\n");
@@ -17,11 +17,11 @@
   EXPECT_EQ(splitter.last_id(), "2");
 }
 
-// Symptom: a continued stream contains a torn event, or one twice.
-// Sequence: an upstream dies in the middle of event 2; the stream goes on at
-// another one after event 1.
-// Cause: the torn part was handed on, or its id was taken for seen.
-TEST(event_splitter_test, ATornEventIsForgotten) {
+// Symptom: a resumed stream contains a truncated event, or an event twice.
+// Sequence: an upstream fails in the middle of event 2; another upstream
+// resumes the stream after event 1.
+// Cause: the incomplete part was forwarded, or its id was recorded as sent.
+TEST(event_splitter_test, DropsIncompleteEvent) {
   event_splitter splitter;
   splitter.Add("id: 1\ndata: a\n\nid: 2\ndata: to");
   splitter.DropPartial();
@@ -35,7 +35,7 @@
   EXPECT_EQ(splitter.last_id(), "7");
 }
 
-TEST(event_splitter_test, AnyPiecesGiveTheSameBytes) {
+TEST(event_splitter_test, PreservesBytesForAnyPieceSize) {
   const std::string text = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\n\nrest";
   for (size_t piece = 1; piece <= text.size(); ++piece) {
     event_splitter splitter;
@@ -43,7 +43,7 @@
     for (size_t at = 0; at < text.size(); at += piece) {
       whole += splitter.Add(std::string_view(text).substr(at, piece));
     }
-    whole += splitter.TakeRest();
+    whole += splitter.ApplyBackoff();
     EXPECT_EQ(whole, text) << piece;
     EXPECT_EQ(splitter.last_id(), "3");
   }
--- a/unittests/Edge/request_flow_test.cc
+++ b/unittests/Edge/request_flow_test.cc
@@ -1,4 +1,4 @@
-// One request's attempts, with upstreams that are plain sockets.
+// Tests the attempts of one request, with plain sockets as upstreams.
 #include "cuminswitch/Edge/request_flow.h"
 
 #include <event2/event.h>
@@ -40,8 +40,8 @@
   bool aborted = false;
 };
 
-/// Every answer of success is signed and for the attempt.
-class plain_protocol : public edge_protocol {
+/// A protocol whose responses all have the same attributes, by default signed.
+class fixed_protocol : public edge_protocol {
  public:
   caller_request ReadRequest(const message_head& /*head*/) const override {
     return {};
@@ -57,13 +57,13 @@
   response_attributes answer{.is_signed = true};
 };
 
-class silent_owner : public flow_owner {
+class recording_owner : public flow_owner {
  public:
   void OnFlowEvent(core_event /*event*/) override {}
   void OnFlowFeedback(const request_flow& /*flow*/,
-                      const upstream_feedback& notices) override {
-    if (notices.limit) {
-      limits.push_back(*notices.limit);
+                      const upstream_feedback& feedback) override {
+    if (feedback.limit) {
+      limits.push_back(*feedback.limit);
     }
   }
   void OnFlowAttemptFailed(const request_flow& /*flow*/,
@@ -73,13 +73,13 @@
   }
   void OnConnectionLost(const endpoint& /*address*/) override {}
   bool CanPlaceElsewhere(const request_flow& /*flow*/) override {
-    return can_go_elsewhere;
+    return can_retry;
   }
   void OnFlowEnd(request_flow& /*flow*/, const flow_result& end) override {
     ended = true;
     last = end;
   }
-  bool can_go_elsewhere = true;
+  bool can_retry = true;
   int failed = 0;
   std::vector<limit_notice> limits;
   bool ended = false;
@@ -118,7 +118,7 @@
     return listener_.Accept(base_);
   }
   /// Lets the loop run until the stall time of a first attempt has passed.
-  void PassStallTime() {
+  void PassStallTimeout() {
     const time_point end = ReadBootClock() + milliseconds(150);
     RunUntil(base_, [&] { return ReadBootClock() >= end; });
   }
@@ -127,8 +127,8 @@
   upstream_pool pool_;
   raw_listener listener_;
   fake_exchange exchange_;
-  plain_protocol protocol_;
-  silent_owner owner_;
+  fixed_protocol protocol_;
+  recording_owner owner_;
   route_spec route_;
   std::unique_ptr<request_flow> flow_;
 };
@@ -137,18 +137,19 @@
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 constexpr char kEvent[] = "7\r\nid: 1\n\n\r\n";
 
-// Symptom: streams are cut in the middle, two seconds after they were taken.
-// Sequence: the first attempt waits at an engine and is taken back; the second
-// one, the last that the route allows, streams; the time after which the first
-// one would have counted as stalled is reached.
-// Cause: the first attempt's timer went on and cut the second attempt.
-TEST_F(request_flow_test, TheStallOfAnAttemptEndsWithIt) {
+// Symptom: streams are truncated two seconds after their requests were
+// accepted.
+// Sequence: the first attempt waits at an engine and is cancelled; the second
+// one, the last that the route allows, streams; the stall timeout of the first
+// one elapses.
+// Cause: the first attempt's timer was not stopped and ended the second one.
+TEST_F(request_flow_test, CancelledAttemptDoesNotStallNextOne) {
   const auto first = Dispatch(1);
   flow_->CancelAttempt();
   const auto second = Dispatch(2);
   second->Send(std::string(kStreamHead) + kEvent);
   RunUntil(base_, [&] { return !exchange_.sent.empty(); });
-  PassStallTime();
+  PassStallTimeout();
   EXPECT_EQ(owner_.failed, 0);
   EXPECT_FALSE(exchange_.aborted);
   second->Send("0\r\n\r\n");
@@ -157,63 +158,63 @@
   EXPECT_TRUE(exchange_.finished);
 }
 
-TEST_F(request_flow_test, ASilentUpstreamIsLeftWhereAnotherMayBeAsked) {
+TEST_F(request_flow_test, FailsStalledAttemptIfRetryIsAllowed) {
   const auto first = Dispatch(1);
-  PassStallTime();
+  PassStallTimeout();
   EXPECT_EQ(owner_.failed, 1);
   EXPECT_FALSE(owner_.ended);
 }
 
-TEST_F(request_flow_test, ASilentUpstreamIsWaitedForWhereNoOtherMayBe) {
+TEST_F(request_flow_test, WaitsForStalledUpstreamOnLastAttempt) {
   route_.max_attempts = 1;
   const auto only = Dispatch(1);
-  PassStallTime();
+  PassStallTimeout();
   EXPECT_EQ(owner_.failed, 0);
 }
 
-// Symptom: 502 for requests that engines were about to answer.
+// Symptom: status 502 for requests that engines were about to respond to.
 // Sequence: all engines are busy for seconds; a request waits at one for four
-// times its target; the budget of retries is spent.
-// Cause: the attempt was broken off before it was known whether the request
-// could go anywhere else.
-TEST_F(request_flow_test, ASilentUpstreamIsWaitedForWhereNothingElseHelps) {
-  owner_.can_go_elsewhere = false;
+// times its target latency; the retry budget is exhausted.
+// Cause: the attempt was ended before it was known whether the request could be
+// retried at another upstream.
+TEST_F(request_flow_test, WaitsForStalledUpstreamIfNoOtherIsAvailable) {
+  owner_.can_retry = false;
   const auto first = Dispatch(1);
-  PassStallTime();
+  PassStallTimeout();
   EXPECT_EQ(owner_.failed, 0);
-  owner_.can_go_elsewhere = true;
-  PassStallTime();
-  EXPECT_EQ(owner_.failed, 1) << "it is asked again";
+  owner_.can_retry = true;
+  PassStallTimeout();
+  EXPECT_EQ(owner_.failed, 1) << "the owner is queried again";
 }
 
 // Symptom: in an overloaded fleet requests move from engine to engine, and each
-// computes their prompts again.
-// Cause: the wait that was usual then counted as silence.
-TEST_F(request_flow_test, AnUpstreamIsNotSilentBeforeTheUsualWait) {
+// engine computes their prompts again.
+// Cause: the mean wait at that load exceeded the stall timeout.
+TEST_F(request_flow_test, StallTimeoutExceedsMeanFirstByte) {
   flow_->Dispatch(ReadBootClock(), {.request = 1,
                                     .attempt = 1,
                                     .upstream = "u",
                                     .address = listener_.Address(),
                                     .mean_first_byte = milliseconds(100)});
   const auto first = listener_.Accept(base_);
-  PassStallTime();
+  PassStallTimeout();
   EXPECT_EQ(owner_.failed, 0);
 }
 
-// Symptom: an upstream that names a limit gets bursts beyond it.
-// Sequence: it refuses a request, without a limit in the refusal; the next
-// requests go there unasked, until an answer names the limit again.
-// Cause: every answer without a limit was taken for the end of it. In a run of
-// the soak each burst followed a refusal, and no other daemon's news came
-// between.
-TEST_F(request_flow_test, ARefusalWithoutALimitEndsNone) {
+// Symptom: an upstream that advertises a rate limit gets bursts beyond it.
+// Sequence: the upstream refuses a request, without a limit in the refusal; the
+// next requests are sent without a permit until a response advertises the limit
+// again.
+// Cause: every response without a limit removed the limit. In a soak run each
+// burst followed a refusal, with no update from another daemon in between.
+TEST_F(request_flow_test, RefusalWithoutLimitDoesNotRemoveLimit) {
   protocol_.answer = {.was_not_run = true};
   const auto refused = Dispatch(1);
   refused->Send(
       "HTTP/1.1 503 Full\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
   RunUntil(base_, [&] { return owner_.failed > 0; });
   EXPECT_TRUE(owner_.limits.empty());
-  // One that names a limit counts.
+  // A refusal that advertises a limit is applied.
   protocol_.answer.limit = {.kind = notice_kind::kNamed, .rate = 2};
   const auto again = Dispatch(2);
   again->Send(
@@ -223,7 +224,7 @@
   EXPECT_EQ(owner_.limits.front().rate, 2);
 }
 
-TEST_F(request_flow_test, AnAnswerOfARunWithoutALimitIsTold) {
+TEST_F(request_flow_test, ReportsResponseWithoutLimit) {
   const auto first = Dispatch(1);
   first->Send(kStreamHead);
   EXPECT_TRUE(RunUntil(base_, [&] { return !owner_.limits.empty(); }));
--- a/unittests/Edge/upstream_feedback_test.cc
+++ b/unittests/Edge/upstream_feedback_test.cc
@@ -1,4 +1,5 @@
-// Which notices of an upstream's answer count.
+// Tests which fields of a response are trusted as information about its
+// upstream.
 #include "cuminswitch/Edge/upstream_feedback.h"
 
 #include <gtest/gtest.h>
@@ -7,54 +8,55 @@
 namespace {
 
 constexpr char kAttempt[] = "a1";
-constexpr backoff_notice kRest{.kind = notice_kind::kNamed,
-                               .time = std::chrono::seconds(3)};
+constexpr backoff_notice kBackoff{.kind = notice_kind::kNamed,
+                                  .time = std::chrono::seconds(3)};
 
 response_attributes Refusal() {
-  return {.attempt = kAttempt, .was_not_run = true, .backoff = kRest};
+  return {.attempt = kAttempt, .was_not_run = true, .backoff = kBackoff};
 }
 
-TEST(upstream_feedback_test, ARefusalAsksForRest) {
-  const auto notices = SelectFeedback(Refusal(), kAttempt);
-  ASSERT_TRUE(notices.backoff);
-  EXPECT_EQ(notices.backoff->time, kRest.time);
-  EXPECT_FALSE(notices.limit);
-  EXPECT_FALSE(notices.has_run);
+TEST(upstream_feedback_test, RefusalRequestsBackoff) {
+  const auto feedback = SelectFeedback(Refusal(), kAttempt);
+  ASSERT_TRUE(feedback.backoff);
+  EXPECT_EQ(feedback.backoff->time, kBackoff.time);
+  EXPECT_FALSE(feedback.limit);
+  EXPECT_FALSE(feedback.has_run);
 }
 
-// A run that failed asks the caller to come back, and its upstream for nothing.
-TEST(upstream_feedback_test, OnlyARefusalAsksForRest) {
-  response_attributes said = Refusal();
-  said.was_not_run = false;
-  said.is_signed = true;
-  EXPECT_FALSE(SelectFeedback(said, kAttempt).backoff);
+// `Retry-After` in the response to a failed execution is meant for the caller
+// and requests no backoff from this daemon.
+TEST(upstream_feedback_test, FailedExecutionRequestsNoBackoff) {
+  response_attributes attributes = Refusal();
+  attributes.was_not_run = false;
+  attributes.is_signed = true;
+  EXPECT_FALSE(SelectFeedback(attributes, kAttempt).backoff);
 }
 
-TEST(upstream_feedback_test, AnyAnswerTellsThatItsUpstreamLeaves) {
-  response_attributes said = Refusal();
-  said.is_leaving = true;
-  EXPECT_TRUE(SelectFeedback(said, kAttempt).is_leaving);
-  said = {.attempt = kAttempt, .is_signed = true, .is_leaving = true};
-  EXPECT_TRUE(SelectFeedback(said, kAttempt).is_leaving);
-  EXPECT_TRUE(SelectFeedback(said, kAttempt).has_run);
+TEST(upstream_feedback_test, AnyResponseReportsLeavingUpstream) {
+  response_attributes attributes = Refusal();
+  attributes.is_leaving = true;
+  EXPECT_TRUE(SelectFeedback(attributes, kAttempt).is_leaving);
+  attributes = {.attempt = kAttempt, .is_signed = true, .is_leaving = true};
+  EXPECT_TRUE(SelectFeedback(attributes, kAttempt).is_leaving);
+  EXPECT_TRUE(SelectFeedback(attributes, kAttempt).has_run);
 }
 
-// The address of an upstream that is gone may be another's.
-TEST(upstream_feedback_test, AnAnswerOfAnotherUpstreamSaysNothing) {
-  response_attributes said = Refusal();
-  said.is_leaving = true;
-  said.is_mismatch = true;
-  const auto notices = SelectFeedback(said, kAttempt);
-  EXPECT_FALSE(notices.backoff);
-  EXPECT_FALSE(notices.is_leaving);
+// The address of a removed upstream may belong to another one.
+TEST(upstream_feedback_test, IgnoresResponseOfAnotherUpstream) {
+  response_attributes attributes = Refusal();
+  attributes.is_leaving = true;
+  attributes.is_mismatch = true;
+  const auto feedback = SelectFeedback(attributes, kAttempt);
+  EXPECT_FALSE(feedback.backoff);
+  EXPECT_FALSE(feedback.is_leaving);
 }
 
-TEST(upstream_feedback_test, ALateAnswerToAnotherAttemptSaysNothing) {
-  response_attributes said = Refusal();
-  said.is_leaving = true;
-  const auto notices = SelectFeedback(said, "a2");
-  EXPECT_FALSE(notices.backoff);
-  EXPECT_FALSE(notices.is_leaving);
+TEST(upstream_feedback_test, IgnoresLateResponseToAnotherAttempt) {
+  response_attributes attributes = Refusal();
+  attributes.is_leaving = true;
+  const auto feedback = SelectFeedback(attributes, "a2");
+  EXPECT_FALSE(feedback.backoff);
+  EXPECT_FALSE(feedback.is_leaving);
 }
 
 }  // namespace
