--- a/include/cuminswitch/Daemon/address_book.h
+++ b/include/cuminswitch/Daemon/address_book.h
@@ -1,5 +1,5 @@
 /// \file
-/// Answers callers who ask which host to use.
+/// Selects the hosts that a workspace's callers connect to.
 #ifndef CUMINSWITCH_DAEMON_ADDRESS_BOOK_H_
 #define CUMINSWITCH_DAEMON_ADDRESS_BOOK_H_
 
@@ -12,10 +12,10 @@
 
 namespace cuminswitch {
 
-/// Chooses a few hosts per workspace by rendezvous hashing, so that every
-/// daemon gives the same answer and one workspace's traffic meets at few
-/// daemons. Hosts that leave are not named, and the second host is in another
-/// failure domain than the first where there is one.
+/// Chooses a few hosts per workspace by rendezvous hashing, so that all daemons
+/// with the same member list return the same hosts and a workspace's traffic
+/// concentrates on a few daemons. Only serving hosts are returned, and the
+/// second host is in another failure domain than the first if there is one.
 class address_book {
  public:
   void SetMembers(std::vector<member> members) {
--- a/include/cuminswitch/Daemon/answer_reader.h
+++ b/include/cuminswitch/Daemon/answer_reader.h
@@ -1,5 +1,6 @@
 /// \file
-/// Follows an engine's answer as it passes: is it whole, and what did it use.
+/// Parses an engine's streamed response as it is relayed: whether it is
+/// complete, and how many tokens it used.
 #ifndef CUMINSWITCH_DAEMON_ANSWER_READER_H_
 #define CUMINSWITCH_DAEMON_ANSWER_READER_H_
 
@@ -9,24 +10,25 @@
 
 namespace cuminswitch {
 
-/// Exact token counts that an engine states.
+/// Exact token counts as reported by an engine.
 struct token_usage {
   uint32_t prompt_tokens = 0;
   uint32_t cached_tokens = 0;
   uint32_t completion_tokens = 0;
 };
 
-/// Reads a stream of server-sent events piece by piece, however it is cut.
+/// Incremental parser of a stream of server-sent events; the stream may be
+/// split at any byte.
 class answer_reader {
  public:
-  /// Takes the next bytes in.
+  /// Parses the next bytes of the stream.
   void Feed(std::string_view data);
-  /// Whether the stream's terminal mark has come.
+  /// Whether the stream's terminator, `data: [DONE]`, was received.
   bool SawEnd() const { return saw_end_; }
   const token_usage& usage() const { return usage_; }
 
  private:
-  void TakeLine(std::string_view line);
+  void ProcessLine(std::string_view line);
 
   std::string partial_line_;
   bool skipping_line_ = false;
@@ -34,7 +36,8 @@
   token_usage usage_;
 };
 
-/// Reads the usage from a whole JSON answer or event; zeros when it has none.
+/// Reads the usage from a complete JSON response or event; zeros when it has
+/// none or \p json is malformed.
 token_usage ReadUsage(std::string_view json);
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Daemon/daemon_message.h
+++ b/include/cuminswitch/Daemon/daemon_message.h
@@ -1,5 +1,5 @@
 /// \file
-/// The messages between the tasks of a daemon.
+/// Messages between the tasks of a daemon.
 #ifndef CUMINSWITCH_DAEMON_DAEMON_MESSAGE_H_
 #define CUMINSWITCH_DAEMON_DAEMON_MESSAGE_H_
 
@@ -13,18 +13,18 @@
 
 namespace cuminswitch {
 
-/// Names of the services, by which they find each other.
+/// Names under which the tasks look up each other's message ports.
 inline constexpr std::string_view kDecisionService = "decision";
 inline constexpr std::string_view kGatewayService = "gateway";
 inline constexpr std::string_view kPeerService = "peer";
 inline constexpr std::string_view kPlatformService = "platform";
 
-/// Asks the decision task for what it sees; `ticket` comes back with it.
+/// Requests the decision core's status. The reply carries the same `ticket`.
 struct status_query {
   uint64_t ticket = 0;
 };
 
-struct status_answer {
+struct status_reply {
   uint64_t ticket = 0;
   std::shared_ptr<const core_status> status;
 };
@@ -37,7 +37,7 @@
                                      probe_upstream,
                                      configuration_adopted,
                                      members_changed,
-                                     status_answer>;
+                                     status_reply>;
 
 }  // namespace cuminswitch
 
--- a/include/cuminswitch/Daemon/decision_task.h
+++ b/include/cuminswitch/Daemon/decision_task.h
@@ -16,13 +16,13 @@
 
 class kernel;
 
-/// Gives the core the time, its events and its ticks, and sends each action
-/// to the task that carries it out.
+/// Passes events and timer ticks, with the current time, to the decision core
+/// and sends each resulting action to the task that executes it.
 class decision_task : public task<decision_message> {
  public:
   struct options {
     decision_core::options core;
-    /// Called, in the task's thread, when a graceful stop is complete.
+    /// Called on the task's thread when a graceful stop is complete.
     std::function<void()> on_stop_ready;
   };
 
@@ -45,7 +45,7 @@
 
   const kernel& services_;
   options options_;
-  std::chrono::steady_clock::time_point zero_;
+  std::chrono::steady_clock::time_point start_time_;
   std::unique_ptr<decision_core> core_;
   std::unique_ptr<loop_timer> timer_;
   std::unique_ptr<action_sender> sender_;
--- a/include/cuminswitch/Daemon/gateway_metrics.h
+++ b/include/cuminswitch/Daemon/gateway_metrics.h
@@ -1,5 +1,5 @@
 /// \file
-/// What the gateway measures, per workspace.
+/// The gateway's metrics, by workspace.
 #ifndef CUMINSWITCH_DAEMON_GATEWAY_METRICS_H_
 #define CUMINSWITCH_DAEMON_GATEWAY_METRICS_H_
 
@@ -14,8 +14,8 @@
 
 struct core_status;
 
-/// One workspace's measurements. Made when its first request comes, so a
-/// daemon holds them only for the workspaces that use it.
+/// Metrics of one workspace. Created on its first request, so that a daemon
+/// holds them only for the workspaces that send to it.
 struct workspace_metrics {
   latency_histogram first_token;
   latency_histogram between_tokens;
@@ -28,8 +28,7 @@
 
 struct gateway_metrics {
   std::map<std::string, workspace_metrics, std::less<>> workspaces;
-  /// The daemon's own part of the time to first token: from the request read
-  /// to its dispatch, without time spent waiting for room.
+  /// Time from a request being read to its first dispatch.
   latency_histogram dispatch_delay;
 
   workspace_metrics& Of(const std::string& workspace) {
@@ -37,7 +36,7 @@
   }
 };
 
-/// Writes the metrics page.
+/// Writes the metrics page in the Prometheus text format.
 std::string WriteMetrics(const gateway_metrics& metrics,
                          const core_status& status);
 /// Writes the status page, in JSON.
--- a/include/cuminswitch/Daemon/gateway_task.h
+++ b/include/cuminswitch/Daemon/gateway_task.h
@@ -1,5 +1,5 @@
 /// \file
-/// The task between callers and upstreams.
+/// The task that proxies requests from callers to upstreams.
 #ifndef CUMINSWITCH_DAEMON_GATEWAY_TASK_H_
 #define CUMINSWITCH_DAEMON_GATEWAY_TASK_H_
 
@@ -25,15 +25,16 @@
 struct configuration;
 struct workspace_spec;
 
-/// Owns the callers' connections and those to upstreams. It checks
-/// credentials and limits, and carries out what the decision core says.
+/// Owns the connections from callers and to upstreams, checks credentials and
+/// size limits, and executes the decision core's actions.
 class gateway_task : public task<gateway_message>,
                      public http_request_handler,
                      public relay_observer {
  public:
   struct options {
     daemon_settings settings;
-    /// Start of the daemon; makes request numbers differ between starts.
+    /// Distinguishes this run of the daemon. Request ids begin at a multiple of
+    /// it, so that they differ between runs.
     uint64_t incarnation = 0;
   };
 
@@ -58,25 +59,27 @@
   void OnTokenGap(const request_relay& relay, double seconds) override;
   void OnRelayDone(request_relay& relay, outcome result) override;
 
-  void Take(const dispatch_attempt& action);
-  void Take(const cancel_attempt& action);
-  void Take(const local_response& action);
-  void Take(const probe_upstream& action);
-  void Take(const configuration_adopted& action);
-  void Take(const members_changed& action);
-  void Take(const status_answer& answer);
+  void Handle(const dispatch_attempt& action);
+  void Handle(const cancel_attempt& action);
+  void Handle(const local_response& action);
+  void Handle(const probe_upstream& action);
+  void Handle(const configuration_adopted& action);
+  void Handle(const members_changed& action);
+  void Handle(const status_reply& reply);
 
-  void AnswerAddresses(const exchange_ptr& exchange);
-  void AnswerReadiness(const exchange_ptr& exchange);
-  void AskStatus(const exchange_ptr& exchange);
+  void ServeAddresses(const exchange_ptr& exchange);
+  void ServeReadiness(const exchange_ptr& exchange);
+  void RequestStatus(const exchange_ptr& exchange);
   void BeginChat(const exchange_ptr& exchange);
   void BeginServiceCall(const exchange_ptr& exchange);
   void BeginRequest(const exchange_ptr& exchange,
                     request_arrived event,
                     request_relay::options relay);
-  /// Returns the caller's workspace, or answers it and returns null.
+  /// Returns the caller's workspace, or sends an error response and returns
+  /// null.
   const workspace_spec* Authenticate(const exchange_ptr& exchange);
-  /// Reads the key's header; answers and returns false when it is malformed.
+  /// Parses the idempotency headers into \p event. If they are malformed, sends
+  /// an error response and returns false.
   bool ReadIdempotencyKey(const exchange_ptr& exchange,
                           request_arrived& event) const;
   bool IsOperator(const http_exchange& exchange) const;
@@ -87,13 +90,13 @@
   std::unique_ptr<http_client> client_;
   std::unique_ptr<http_server> server_;
   std::shared_ptr<const configuration> config_;
-  /// Workspaces by the digest of their credential.
+  /// Workspaces by the SHA-256 digest of their credential.
   std::unordered_map<std::string, const workspace_spec*> by_credential_;
   address_book addresses_;
   std::unordered_map<request_id, std::unique_ptr<request_relay>> relays_;
   std::unordered_map<attempt_id, request_id> relay_by_attempt_;
   std::map<upstream_probe*, std::unique_ptr<upstream_probe>> probes_;
-  /// Callers that wait for a status answer.
+  /// Requests waiting for a `status_reply`, by ticket.
   std::map<uint64_t, exchange_ptr> status_waiters_;
   uint64_t next_ticket_ = 1;
   request_id next_request_ = 0;
--- a/include/cuminswitch/Daemon/peer_task.h
+++ b/include/cuminswitch/Daemon/peer_task.h
@@ -14,7 +14,8 @@
 
 class kernel;
 
-/// Encodes and sends messages to peers, and decodes and hands on theirs.
+/// Encodes and sends messages to peers, and decodes received ones and forwards
+/// them to the decision task.
 class peer_task : public task<send_peer>, public peer_frame_handler {
  public:
   struct options {
--- a/include/cuminswitch/Daemon/platform_task.h
+++ b/include/cuminswitch/Daemon/platform_task.h
@@ -1,5 +1,5 @@
 /// \file
-/// The task that calls the platform's service.
+/// The task that calls the platform's key-value service.
 #ifndef CUMINSWITCH_DAEMON_PLATFORM_TASK_H_
 #define CUMINSWITCH_DAEMON_PLATFORM_TASK_H_
 
@@ -13,7 +13,8 @@
 
 class kernel;
 
-/// Makes the core's platform calls and brings the answers back.
+/// Makes the decision core's platform calls and posts the replies to the
+/// decision task.
 class platform_task : public task<platform_call> {
  public:
   platform_task(const kernel& services, const platform_client::options& opts);
--- a/include/cuminswitch/Daemon/request_relay.h
+++ b/include/cuminswitch/Daemon/request_relay.h
@@ -1,5 +1,5 @@
 /// \file
-/// Carries one request to its upstreams and one answer back to its caller.
+/// Relays one request to its upstreams and the response to its caller.
 #ifndef CUMINSWITCH_DAEMON_REQUEST_RELAY_H_
 #define CUMINSWITCH_DAEMON_REQUEST_RELAY_H_
 
@@ -18,19 +18,19 @@
 class http_exchange;
 class request_relay;
 
-/// Is told what happens to a relayed request.
+/// Receives the events of a relayed request.
 class relay_observer {
  public:
   virtual ~relay_observer() = default;
   virtual void OnRelayEvent(core_event event) = 0;
   virtual void OnFirstToken(const request_relay& relay) = 0;
   virtual void OnTokenGap(const request_relay& relay, double seconds) = 0;
-  /// The request is over; \p relay may be destroyed in this call.
+  /// The response is complete; \p relay may be destroyed in this call.
   virtual void OnRelayDone(request_relay& relay, outcome result) = 0;
 };
 
-/// Owned by the gateway while the request lives. It keeps to one attempt at a
-/// time: what comes of another one is dropped.
+/// Owned by the gateway until the request ends. It runs one attempt at a time:
+/// a new dispatch cancels the previous attempt's call.
 class request_relay : private http_call_handler {
  public:
   struct options {
@@ -41,8 +41,9 @@
     std::string path;
     std::string body;
     http_headers headers;
-    /// Whether the answer is kept for a repeat of the request's key.
-    bool keep_answer = false;
+    /// Whether the response is recorded, to be sent again to a repeated request
+    /// with the same idempotency key.
+    bool record_response = false;
     std::chrono::milliseconds connect_timeout{1000};
     std::chrono::milliseconds idle_timeout{60'000};
     std::chrono::steady_clock::time_point arrived;
@@ -52,10 +53,10 @@
   ~request_relay() override;
 
   void Dispatch(const dispatch_attempt& action, http_client& client);
-  /// Gives the caller the daemon's own answer.
-  void Answer(const local_response& action);
-  /// The caller closed its connection; the attempt goes on until the core
-  /// says otherwise.
+  /// Sends the caller a response that the daemon made or recorded itself.
+  void SendLocalResponse(const local_response& action);
+  /// The caller closed its connection; the attempt continues until the core
+  /// cancels it.
   void OnCallerGone();
 
   request_id request() const { return options_.request; }
@@ -68,13 +69,13 @@
  private:
   void OnHeaders(const http_response_head& head) override;
   void OnData(std::string_view data) override;
-  void OnEnd(http_result end) override;
+  void OnEnd(http_result result) override;
 
   void RelayStreamData(std::string_view data);
-  void Keep(std::string_view data);
-  void EndStream(http_result end);
-  void EndWhole(http_result end);
-  /// Tells the core how the attempt ended.
+  void RecordData(std::string_view data);
+  void EndStream(http_result result);
+  void EndBuffered(http_result result);
+  /// Reports the attempt's outcome to the core.
   void ReportEnd(attempt_ended event);
   attempt_ended MakeAnswered() const;
   bool IsStream() const { return is_stream_; }
@@ -84,16 +85,16 @@
   relay_observer& observer_;
   attempt_id attempt_ = 0;
   std::unique_ptr<http_call> call_;
-  /// Of the present attempt.
+  // State of the current attempt.
   uint32_t status_ = 0;
   std::string content_type_;
   bool is_stream_ = false;
   bool saw_data_ = false;
-  std::string whole_body_;
+  std::string buffered_body_;
   bool body_too_long_ = false;
   answer_reader reader_;
-  std::string kept_;
-  bool kept_whole_ = true;
+  std::string recorded_body_;
+  bool is_record_complete_ = true;
   std::chrono::steady_clock::time_point last_data_;
 };
 
--- a/include/cuminswitch/Daemon/router_daemon.h
+++ b/include/cuminswitch/Daemon/router_daemon.h
@@ -1,5 +1,5 @@
 /// \file
-/// A whole daemon, put together from its settings.
+/// Assembles a daemon from its settings.
 #ifndef CUMINSWITCH_DAEMON_ROUTER_DAEMON_H_
 #define CUMINSWITCH_DAEMON_ROUTER_DAEMON_H_
 
@@ -18,12 +18,13 @@
   router_daemon(const daemon_settings& settings,
                 std::function<void()> on_stop_ready);
 
-  /// Starts all tasks. Throws `bind_error` when an address is taken.
+  /// Starts all tasks. Throws `bind_error` when an address cannot be bound.
   void Start();
-  /// Begins a graceful stop: leaves the address answers, takes requests for
-  /// as long as those answers live, finishes what runs.
+  /// Begins a graceful stop: this host is no longer included in address
+  /// responses, but accepts requests until the responses already given out
+  /// expire, then finishes the running requests.
   void BeginStop();
-  /// Ends all tasks at once.
+  /// Stops all tasks immediately.
   void Stop();
 
  private:
--- a/include/cuminswitch/Daemon/upstream_probe.h
+++ b/include/cuminswitch/Daemon/upstream_probe.h
@@ -1,5 +1,5 @@
 /// \file
-/// Asks one upstream for its load report.
+/// Requests the load report of one upstream.
 #ifndef CUMINSWITCH_DAEMON_UPSTREAM_PROBE_H_
 #define CUMINSWITCH_DAEMON_UPSTREAM_PROBE_H_
 
@@ -13,7 +13,7 @@
 
 namespace cuminswitch {
 
-/// One probe under way.
+/// One probe in progress.
 class upstream_probe : private http_call_handler {
  public:
   using callback = std::function<void(upstream_probe&, upstream_report)>;
@@ -27,7 +27,7 @@
  private:
   void OnHeaders(const http_response_head& head) override;
   void OnData(std::string_view data) override;
-  void OnEnd(http_result end) override;
+  void OnEnd(http_result result) override;
 
   std::string upstream_;
   callback on_done_;
@@ -36,7 +36,8 @@
   std::unique_ptr<http_call> call_;
 };
 
-/// Reads a load report; one that cannot be read is not reachable.
+/// Parses a load report. An upstream with a malformed report is marked
+/// unreachable.
 upstream_report ParseUpstreamReport(std::string_view upstream,
                                     std::string_view body);
 
--- a/lib/Daemon/address_book.cc
+++ b/lib/Daemon/address_book.cc
@@ -8,7 +8,8 @@
 
 namespace cuminswitch {
 
-/// Separates this use of rendezvous hashing from the others.
+/// Seed that makes this ranking independent of other uses of rendezvous
+/// hashing.
 static constexpr uint64_t kAddressHashSeed = 0xadd2e55;
 
 std::vector<const member*> address_book::Choose(std::string_view workspace,
@@ -26,8 +27,8 @@
   std::sort(
       ranked.begin(), ranked.end(),
       [&](const member* a, const member* b) { return weight(a) > weight(b); });
-  // First the best of each failure domain, then the rest, so that a caller
-  // that loses a domain has an address in another.
+  // The best host of each failure domain first, then the rest, so that a caller
+  // still has an address when a whole domain fails.
   std::set<std::string_view> seen;
   std::stable_partition(ranked.begin(), ranked.end(), [&](const member* item) {
     return seen.insert(item->failure_domain).second;
--- a/lib/Daemon/answer_reader.cc
+++ b/lib/Daemon/answer_reader.cc
@@ -5,10 +5,10 @@
 namespace cuminswitch {
 
 static constexpr std::string_view kDataField = "data:";
-static constexpr std::string_view kEndMark = "[DONE]";
-/// A longer line is passed over, so that a broken engine cannot make the
-/// daemon hold its stream in memory.
-static constexpr size_t kMaxLine = 64UL << 10;
+static constexpr std::string_view kStreamTerminator = "[DONE]";
+/// Longest line that is parsed, in bytes. Longer ones are skipped, so that a
+/// faulty engine cannot make the daemon buffer its whole stream.
+static constexpr size_t kMaxLineSize = 64UL << 10;
 
 static uint32_t ReadCount(const nlohmann::json& json, const char* key) {
   const auto found = json.find(key);
@@ -40,7 +40,7 @@
   while (!data.empty()) {
     const size_t end = data.find('\n');
     const std::string_view piece = data.substr(0, end);
-    if (partial_line_.size() + piece.size() > kMaxLine) {
+    if (partial_line_.size() + piece.size() > kMaxLineSize) {
       skipping_line_ = true;
       partial_line_.clear();
     }
@@ -51,7 +51,7 @@
       return;
     }
     if (!skipping_line_) {
-      TakeLine(partial_line_);
+      ProcessLine(partial_line_);
     }
     partial_line_.clear();
     skipping_line_ = false;
@@ -59,7 +59,7 @@
   }
 }
 
-void answer_reader::TakeLine(std::string_view line) {
+void answer_reader::ProcessLine(std::string_view line) {
   if (!line.empty() && line.back() == '\r') {
     line.remove_suffix(1);
   }
@@ -70,7 +70,7 @@
   while (!line.empty() && line.front() == ' ') {
     line.remove_prefix(1);
   }
-  if (line == kEndMark) {
+  if (line == kStreamTerminator) {
     saw_end_ = true;
     return;
   }
--- a/lib/Daemon/chat_request.cc
+++ b/lib/Daemon/chat_request.cc
@@ -8,7 +8,8 @@
   if (content.is_string()) {
     return content.get<std::string>();
   }
-  // Content in parts: their text counts, whatever else is in them too.
+  // Multi-part content: the serialized JSON is hashed and counted, since parts
+  // may also hold non-text data.
   return content.dump();
 }
 
--- a/lib/Daemon/decision_task.cc
+++ b/lib/Daemon/decision_task.cc
@@ -6,7 +6,7 @@
 
 namespace cuminswitch {
 
-/// Sends each kind of action to the task that carries it out.
+/// Sends each type of action to the task that executes it.
 struct decision_task::action_sender {
   message_port<gateway_message>& gateway;
   message_port<send_peer>& peers;
@@ -27,7 +27,7 @@
 decision_task::decision_task(const kernel& services, options opts)
     : services_(services),
       options_(std::move(opts)),
-      zero_(std::chrono::steady_clock::now()) {}
+      start_time_(std::chrono::steady_clock::now()) {}
 
 decision_task::~decision_task() = default;
 
@@ -48,7 +48,7 @@
 
 time_point decision_task::Now() const {
   return time_point(std::chrono::duration_cast<duration>(
-      std::chrono::steady_clock::now() - zero_));
+      std::chrono::steady_clock::now() - start_time_));
 }
 
 void decision_task::Feed(const core_event& event) {
@@ -67,7 +67,7 @@
   if (const auto* query = std::get_if<status_query>(&message)) {
     auto status = std::make_shared<const core_status>(core_->GetStatus());
     sender_->gateway.Post(
-        status_answer{.ticket = query->ticket, .status = std::move(status)});
+        status_reply{.ticket = query->ticket, .status = std::move(status)});
     return;
   }
   Feed(std::get<core_event>(message));
--- a/lib/Daemon/gateway_task.cc
+++ b/lib/Daemon/gateway_task.cc
@@ -19,11 +19,13 @@
 static constexpr std::string_view kServicePrefix = "/services/";
 static constexpr std::string_view kBearer = "Bearer ";
 static constexpr size_t kMaxKeyLength = 256;
-/// A workspace is spread over one more host per so many requests in flight.
+/// A workspace's callers are given one more host for each this many requests
+/// that the workspace may have in flight.
 static constexpr uint32_t kInFlightPerHost = 64;
-static constexpr size_t kLeastAddresses = 2;
-static constexpr size_t kMostAddresses = 4;
-/// How long a caller waits when it does not say, by class.
+static constexpr size_t kMinAddresses = 2;
+static constexpr size_t kMaxAddresses = 4;
+/// Default time limits of a request without `X-Time-Limit-Ms`, by priority
+/// class.
 static constexpr duration kInteractiveTimeLimit = std::chrono::seconds(5);
 static constexpr duration kStandardTimeLimit = std::chrono::seconds(15);
 static constexpr duration kBatchTimeLimit = std::chrono::minutes(5);
@@ -55,7 +57,7 @@
   return kStandardTimeLimit;
 }
 
-/// Reads a decimal number that is the whole of \p text.
+/// Parses \p text as a decimal number; fails on trailing characters.
 static std::optional<int64_t> ParseNumber(std::string_view text) {
   int64_t value = 0;
   const auto [end, error] =
@@ -111,7 +113,7 @@
 }
 
 void gateway_task::Receive(gateway_message message) {
-  std::visit([this](const auto& item) { Take(item); }, message);
+  std::visit([this](const auto& item) { Handle(item); }, message);
 }
 
 request_relay* gateway_task::FindRelay(request_id request) {
@@ -119,7 +121,7 @@
   return found == relays_.end() ? nullptr : found->second.get();
 }
 
-void gateway_task::Take(const dispatch_attempt& action) {
+void gateway_task::Handle(const dispatch_attempt& action) {
   request_relay* relay = FindRelay(action.request);
   if (relay == nullptr) {
     OnRelayEvent(
@@ -137,7 +139,7 @@
   relay->Dispatch(action, *client_);
 }
 
-void gateway_task::Take(const cancel_attempt& action) {
+void gateway_task::Handle(const cancel_attempt& action) {
   const auto found = relay_by_attempt_.find(action.attempt);
   if (found == relay_by_attempt_.end()) {
     return;
@@ -146,13 +148,13 @@
   relay_by_attempt_.erase(found);
 }
 
-void gateway_task::Take(const local_response& action) {
+void gateway_task::Handle(const local_response& action) {
   if (request_relay* relay = FindRelay(action.request)) {
-    relay->Answer(action);
+    relay->SendLocalResponse(action);
   }
 }
 
-void gateway_task::Take(const probe_upstream& action) {
+void gateway_task::Handle(const probe_upstream& action) {
   auto probe = std::make_unique<upstream_probe>(
       action, *client_, [this](upstream_probe& done, upstream_report report) {
         OnRelayEvent(std::move(report));
@@ -162,7 +164,7 @@
   probes_[key] = std::move(probe);
 }
 
-void gateway_task::Take(const configuration_adopted& action) {
+void gateway_task::Handle(const configuration_adopted& action) {
   config_ = action.config;
   by_credential_.clear();
   for (const workspace_spec& workspace : config_->workspaces) {
@@ -170,21 +172,21 @@
   }
 }
 
-void gateway_task::Take(const members_changed& action) {
+void gateway_task::Handle(const members_changed& action) {
   addresses_.SetMembers(action.members);
 }
 
-void gateway_task::Take(const status_answer& answer) {
-  const auto found = status_waiters_.find(answer.ticket);
+void gateway_task::Handle(const status_reply& reply) {
+  const auto found = status_waiters_.find(reply.ticket);
   if (found == status_waiters_.end()) {
     return;
   }
   http_exchange& exchange = *found->second;
   if (exchange.Path() == "/metrics") {
     exchange.Reply(status_code::kOk, kPlainText,
-                   WriteMetrics(metrics_, *answer.status));
+                   WriteMetrics(metrics_, *reply.status));
   } else {
-    exchange.Reply(status_code::kOk, kJson, WriteStatus(*answer.status));
+    exchange.Reply(status_code::kOk, kJson, WriteStatus(*reply.status));
   }
   status_waiters_.erase(found);
 }
@@ -217,19 +219,19 @@
   } else if (path.starts_with(kServicePrefix)) {
     BeginServiceCall(exchange);
   } else if (path == "/v1/addresses") {
-    AnswerAddresses(exchange);
+    ServeAddresses(exchange);
   } else if (path == "/healthz") {
     exchange->Reply(status_code::kOk, kJson, R"({"status":"ok"})");
   } else if (path == "/readyz") {
-    AnswerReadiness(exchange);
+    ServeReadiness(exchange);
   } else if (path == "/status" || path == "/metrics") {
-    AskStatus(exchange);
+    RequestStatus(exchange);
   } else {
     ReplyError(*exchange, status_code::kNotFound, "no such path");
   }
 }
 
-void gateway_task::AnswerReadiness(const exchange_ptr& exchange) {
+void gateway_task::ServeReadiness(const exchange_ptr& exchange) {
   if (config_ == nullptr) {
     ReplyError(*exchange, status_code::kUnavailable,
                "no configuration is in force yet");
@@ -244,7 +246,7 @@
          EqualInConstantTime(Sha256Hex(BearerToken(exchange)), wanted);
 }
 
-void gateway_task::AskStatus(const exchange_ptr& exchange) {
+void gateway_task::RequestStatus(const exchange_ptr& exchange) {
   if (!IsOperator(*exchange)) {
     ReplyError(*exchange, status_code::kUnauthorized,
                "an operator's credential is needed");
@@ -268,8 +270,8 @@
                "a workspace credential is needed");
     return nullptr;
   }
-  // The lookup is by digest, so its time tells nothing of the credential; the
-  // match is then confirmed in constant time.
+  // Looking up the digest, not the credential, keeps the lookup's timing from
+  // leaking the credential; the match is then confirmed in constant time.
   const std::string digest = Sha256Hex(token);
   const auto found = by_credential_.find(digest);
   if (found == by_credential_.end() ||
@@ -287,14 +289,14 @@
   return found->second;
 }
 
-void gateway_task::AnswerAddresses(const exchange_ptr& exchange) {
+void gateway_task::ServeAddresses(const exchange_ptr& exchange) {
   const workspace_spec* workspace = Authenticate(exchange);
   if (workspace == nullptr) {
     return;
   }
   const size_t wanted =
       std::clamp<size_t>(1 + workspace->max_in_flight / kInFlightPerHost,
-                         kLeastAddresses, kMostAddresses);
+                         kMinAddresses, kMaxAddresses);
   nlohmann::json json;
   json["time_to_live_seconds"] = options_.settings.address_time_to_live.count();
   json["addresses"] = nlohmann::json::array();
@@ -396,8 +398,8 @@
   relay.workspace = event.workspace;
   relay.caller = exchange;
   relay.body = exchange->Body();
-  relay.keep_answer = !event.idempotency_key.empty();
-  if (relay.keep_answer) {
+  relay.record_response = !event.idempotency_key.empty();
+  if (relay.record_response) {
     relay.headers.push_back(
         {.name = "Idempotency-Key", .value = event.idempotency_key});
   }
--- a/lib/Daemon/platform_task.cc
+++ b/lib/Daemon/platform_task.cc
@@ -19,9 +19,9 @@
 }
 
 void platform_task::Receive(platform_call message) {
-  client_->Call(message, [this](const platform_reply& answer) {
+  client_->Call(message, [this](const platform_reply& reply) {
     services_.FindPort<decision_message>(kDecisionService)
-        .Post(core_event(answer));
+        .Post(core_event(reply));
   });
 }
 
--- a/lib/Daemon/request_relay.cc
+++ b/lib/Daemon/request_relay.cc
@@ -12,13 +12,13 @@
 static constexpr uint32_t kServerError = 500;
 static constexpr std::string_view kEventStream = "text/event-stream";
 static constexpr std::string_view kJson = "application/json";
-/// Bytes that a slow caller may leave unread before the upstream is no longer
-/// read; resumed when they are taken.
+/// Bytes waiting for a slow caller above which reading from the upstream is
+/// paused; it resumes when the caller's output buffer is empty.
 static constexpr size_t kMaxPendingBytes = 256UL << 10;
-/// A longer answer that is not a stream cannot be held whole.
-static constexpr size_t kMaxWholeBody = 32UL << 20;
-/// Longest answer kept for a repeat of its key.
-static constexpr size_t kMaxKeptBody = 16UL << 10;
+/// Largest non-streamed response body, in bytes, that is buffered.
+static constexpr size_t kMaxBufferedBody = 32UL << 20;
+/// Largest response body, in bytes, that is recorded for repeated requests.
+static constexpr size_t kMaxRecordedBody = 16UL << 10;
 
 static http_headers OutcomeHeaders(outcome result) {
   return {{.name = "X-Cuminswitch-Outcome",
@@ -29,8 +29,8 @@
     : options_(std::move(opts)), observer_(observer) {}
 
 request_relay::~request_relay() {
-  // The exchange lives on until the caller has taken the last bytes, and would
-  // call back into this object.
+  // The exchange outlives this object until the caller has received the last
+  // bytes, and would call back into it.
   options_.caller->SetOnDrained(nullptr);
 }
 
@@ -41,11 +41,11 @@
   content_type_.clear();
   is_stream_ = false;
   saw_data_ = false;
-  whole_body_.clear();
+  buffered_body_.clear();
   body_too_long_ = false;
   reader_ = answer_reader();
-  kept_.clear();
-  kept_whole_ = true;
+  recorded_body_.clear();
+  is_record_complete_ = true;
   http_headers headers = options_.headers;
   headers.push_back(
       {.name = "X-Request-Id", .value = std::to_string(action.attempt)});
@@ -72,16 +72,16 @@
   is_stream_ = status_ < 300 && content_type_.starts_with(kEventStream);
 }
 
-void request_relay::Keep(std::string_view data) {
-  if (!options_.keep_answer || !kept_whole_) {
+void request_relay::RecordData(std::string_view data) {
+  if (!options_.record_response || !is_record_complete_) {
     return;
   }
-  if (kept_.size() + data.size() > kMaxKeptBody) {
-    kept_whole_ = false;
-    kept_.clear();
+  if (recorded_body_.size() + data.size() > kMaxRecordedBody) {
+    is_record_complete_ = false;
+    recorded_body_.clear();
     return;
   }
-  kept_ += data;
+  recorded_body_ += data;
 }
 
 void request_relay::OnData(std::string_view data) {
@@ -99,16 +99,16 @@
     RelayStreamData(data);
     return;
   }
-  if (whole_body_.size() + data.size() > kMaxWholeBody) {
+  if (buffered_body_.size() + data.size() > kMaxBufferedBody) {
     body_too_long_ = true;
     return;
   }
-  whole_body_ += data;
+  buffered_body_ += data;
 }
 
 void request_relay::RelayStreamData(std::string_view data) {
   reader_.Feed(data);
-  Keep(data);
+  RecordData(data);
   http_exchange& caller = *options_.caller;
   if (!caller.HasBegun()) {
     caller.BeginStream(status_, content_type_,
@@ -125,56 +125,58 @@
   }
 }
 
-void request_relay::OnEnd(http_result end) {
+void request_relay::OnEnd(http_result result) {
   if (is_stream_) {
-    EndStream(end);
+    EndStream(result);
   } else {
-    EndWhole(end);
+    EndBuffered(result);
   }
 }
 
 attempt_ended request_relay::MakeAnswered() const {
   const token_usage usage =
-      is_stream_ ? reader_.usage() : ReadUsage(whole_body_);
+      is_stream_ ? reader_.usage() : ReadUsage(buffered_body_);
   attempt_ended event{.attempt = attempt_,
                       .result = outcome::kAnswered,
                       .answer_begun = true,
                       .prompt_tokens = usage.prompt_tokens,
                       .cached_tokens = usage.cached_tokens};
-  if (options_.keep_answer && kept_whole_) {
-    event.answer = {
-        .status = status_, .content_type = content_type_, .body = kept_};
+  if (options_.record_response && is_record_complete_) {
+    event.answer = {.status = status_,
+                    .content_type = content_type_,
+                    .body = recorded_body_};
   }
   return event;
 }
 
-void request_relay::EndStream(http_result end) {
-  if (end == http_result::kComplete && reader_.SawEnd()) {
+void request_relay::EndStream(http_result result) {
+  if (result == http_result::kComplete && reader_.SawEnd()) {
     options_.caller->EndStream();
     ReportEnd(MakeAnswered());
     return;
   }
-  // The stream broke off before its terminal mark. The caller must not take
-  // what it has for the whole, so the core will answer with an error event.
+  // The stream ended before its terminator. So that the caller does not take
+  // the truncated response for a complete one, the core sends an error event.
   ReportEnd({.attempt = attempt_,
              .result = outcome::kUnknown,
-             .broke_off = end == http_result::kBroken,
+             .broke_off = result == http_result::kBroken,
              .answer_begun = options_.caller->HasBegun()});
 }
 
-void request_relay::EndWhole(http_result end) {
-  if (end == http_result::kNotConnected) {
+void request_relay::EndBuffered(http_result result) {
+  if (result == http_result::kNotConnected) {
     ReportEnd(
         {.attempt = attempt_, .result = outcome::kNotRun, .unreachable = true});
     return;
   }
-  if (end == http_result::kBroken || body_too_long_) {
+  if (result == http_result::kBroken || body_too_long_) {
     ReportEnd({.attempt = attempt_,
                .result = outcome::kUnknown,
-               .broke_off = end == http_result::kBroken});
+               .broke_off = result == http_result::kBroken});
     return;
   }
-  // An upstream refuses before it runs with these, and only with these.
+  // Upstreams send exactly these statuses, and no others, for a request that
+  // they rejected without running it.
   if (status_ == status_code::kTooManyRequests ||
       status_ == status_code::kUnavailable ||
       status_ == status_code::kPreconditionFailed) {
@@ -187,8 +189,8 @@
     ReportEnd({.attempt = attempt_, .result = outcome::kUnknown});
     return;
   }
-  Keep(whole_body_);
-  options_.caller->Reply(status_, content_type_, whole_body_,
+  RecordData(buffered_body_);
+  options_.caller->Reply(status_, content_type_, buffered_body_,
                          OutcomeHeaders(outcome::kAnswered));
   ReportEnd(MakeAnswered());
 }
@@ -204,7 +206,7 @@
 
 void request_relay::OnCallerGone() {
   if (call_ != nullptr) {
-    // It may have been paused for the caller's sake.
+    // Reading may have been paused because the caller was slow.
     call_->ResumeReading();
   }
 }
@@ -217,7 +219,7 @@
   options_.caller->EndStream();
 }
 
-void request_relay::Answer(const local_response& action) {
+void request_relay::SendLocalResponse(const local_response& action) {
   http_exchange& caller = *options_.caller;
   http_headers headers = OutcomeHeaders(action.result);
   if (action.retry_after_seconds != 0) {
--- a/lib/Daemon/router_daemon.cc
+++ b/lib/Daemon/router_daemon.cc
@@ -40,7 +40,8 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch)
           .count());
   constexpr uint64_t kMillisPerSecond = 1000;
-  // The decision task starts last and stops first: it posts to all others.
+  // The decision task starts last and stops first, since it posts to all other
+  // tasks.
   kernel_.Register(std::make_unique<peer_task>(
       kernel_, peer_task::options{.listen = settings.peer_address,
                                   .credential = settings.peer_credential}));
--- a/lib/Daemon/upstream_probe.cc
+++ b/lib/Daemon/upstream_probe.cc
@@ -34,9 +34,9 @@
   body_ += data;
 }
 
-void upstream_probe::OnEnd(http_result end) {
+void upstream_probe::OnEnd(http_result result) {
   upstream_report report{.upstream = upstream_};
-  if (end == http_result::kComplete && status_ == status_code::kOk) {
+  if (result == http_result::kComplete && status_ == status_code::kOk) {
     report = ParseUpstreamReport(upstream_, body_);
   }
   const callback on_done = std::move(on_done_);
--- a/unittests/Daemon/address_book_test.cc
+++ b/unittests/Daemon/address_book_test.cc
@@ -30,7 +30,7 @@
   }
 }
 
-TEST(AddressBookTest, LeavingAndDeadHostsAreNotNamed) {
+TEST(AddressBookTest, ExcludesLeavingAndFailedHosts) {
   std::vector<member> members = MakeMembers();
   members[0].status = member_status::kLeaving;
   members[1].status = member_status::kDead;
@@ -44,7 +44,7 @@
   }
 }
 
-TEST(AddressBookTest, HostThatLeavesMovesOnlyItsOwnWorkspaces) {
+TEST(AddressBookTest, LeavingHostMovesOnlyItsOwnWorkspaces) {
   address_book before;
   before.SetMembers(MakeMembers());
   std::vector<member> members = MakeMembers();
@@ -61,7 +61,7 @@
       EXPECT_EQ(old_host->host, new_host->host);
     }
   }
-  EXPECT_EQ(first.size(), 8U) << "every host is some workspace's first";
+  EXPECT_EQ(first.size(), 8U) << "each host ranks first for some workspace";
 }
 
 }  // namespace
--- a/unittests/Daemon/answer_reader_test.cc
+++ b/unittests/Daemon/answer_reader_test.cc
@@ -15,7 +15,7 @@
     "\"prompt_tokens_details\":{\"cached_tokens\":64}}}\r\n\r\n"
     "data: [DONE]\n\n";
 
-TEST(AnswerReaderTest, ReadsUsageAndEndHoweverTheStreamIsCut) {
+TEST(AnswerReaderTest, ReadsUsageAndTerminatorAtAnyFragmentation) {
   std::mt19937_64 random(3);
   const std::string stream = kStream;
   for (int round = 0; round < 500; ++round) {
@@ -32,10 +32,9 @@
   }
 }
 
-// Symptom: a broken stream counts as whole.
-// Sequence: the stream stops at each of its bytes before the terminal mark.
-// Cause: the end of the connection is not the end of the answer.
-TEST(AnswerReaderTest, StreamCutBeforeItsMarkHasNoEnd) {
+// A truncated stream must not count as complete, wherever it stops before its
+// terminator: the end of the connection is not the end of the response.
+TEST(AnswerReaderTest, TruncatedStreamHasNoTerminator) {
   const std::string stream = kStream;
   const size_t mark = stream.find("[DONE]") + 6;
   for (size_t size = 0; size < mark; ++size) {
@@ -45,15 +44,15 @@
   }
 }
 
-TEST(AnswerReaderTest, MarkInsideATokenIsNoEnd) {
+TEST(AnswerReaderTest, TerminatorInsideATokenDoesNotEndTheStream) {
   answer_reader reader;
   reader.Feed("data: {\"content\":\"data: [DONE]\"}\n\n");
   EXPECT_FALSE(reader.SawEnd());
 }
 
-// Symptom: the daemon's memory grows with one engine's endless line.
-// Cause: a line is held until its end comes.
-TEST(AnswerReaderTest, EndlessLineIsPassedOver) {
+// A line is buffered until its line feed arrives, so a faulty engine that sends
+// an endless line would grow the daemon's memory without the size limit.
+TEST(AnswerReaderTest, SkipsLineOverTheSizeLimit) {
   answer_reader reader;
   const std::string piece(10'000, 'x');
   for (int i = 0; i < 100; ++i) {
@@ -63,7 +62,7 @@
   EXPECT_TRUE(reader.SawEnd());
 }
 
-TEST(AnswerReaderFuzzTest, AnyBytesAreTaken) {
+TEST(AnswerReaderFuzzTest, AcceptsArbitraryBytes) {
   std::mt19937_64 random(4);
   const std::string alphabet = "data: {}[]\"usage:\n\r0123456789DONE";
   for (int round = 0; round < 2000; ++round) {
--- a/unittests/Daemon/request_relay_test.cc
+++ b/unittests/Daemon/request_relay_test.cc
@@ -16,7 +16,7 @@
 
 constexpr size_t kPieces = 2000;
 
-/// Serves both as the upstream (`/v1/chat/completions`) and as the daemon that
+/// Acts both as the upstream (`/v1/chat/completions`) and as the daemon that
 /// relays a caller's request (`/relay`) to it.
 class request_relay_test : public testing::Test,
                            public http_request_handler,
@@ -47,7 +47,7 @@
     for (size_t i = 0; i < kPieces; ++i) {
       exchange->SendChunk("data: " + piece + "\n\n");
     }
-    if (upstream_ends_well_) {
+    if (sends_terminator_) {
       exchange->SendChunk("data: [DONE]\n\n");
     }
     exchange->EndStream();
@@ -79,7 +79,7 @@
     relay_.reset();
   }
 
-  // http_call_handler: the caller
+  // http_call_handler of the caller's own call
   void OnHeaders(const http_response_head& /*head*/) override {
     if (caller_is_slow_) {
       call_->PauseReading();
@@ -105,10 +105,10 @@
   std::string body_;
   http_result end_ = http_result::kBroken;
   bool caller_is_slow_ = false;
-  bool upstream_ends_well_ = true;
+  bool sends_terminator_ = true;
 };
 
-TEST_F(request_relay_test, StreamIsRelayedWhole) {
+TEST_F(request_relay_test, RelaysCompleteStream) {
   Call();
   event_base_dispatch(base_);
   EXPECT_EQ(end_, http_result::kComplete);
@@ -117,12 +117,11 @@
   EXPECT_GT(body_.size(), kPieces * 10'000);
 }
 
-// Symptom: the daemon crashes, or not, when a slow caller takes the last bytes.
-// Sequence: a caller stops reading, the relay waits for it to take its bytes,
-//   the caller reads on, the stream ends and the relay is destroyed while bytes
-//   are still on their way.
-// Cause: the caller's exchange outlives the relay and kept its callback.
-TEST_F(request_relay_test, SlowCallerTakesTheLastBytesAfterTheRelayIsGone) {
+// The caller's exchange outlives the relay and must not keep its callback, or
+// the daemon may crash: a caller stops reading, the relay sets the callback,
+// the caller resumes, and the stream ends and the relay is destroyed while
+// bytes are still pending.
+TEST_F(request_relay_test, SlowCallerReadsLastBytesAfterRelayIsDestroyed) {
   caller_is_slow_ = true;
   Call();
   for (int i = 0; i < 300; ++i) {
@@ -134,8 +133,8 @@
   EXPECT_TRUE(body_.ends_with("data: [DONE]\n\n"));
 }
 
-TEST_F(request_relay_test, StreamWithoutItsMarkIsReportedUnknown) {
-  upstream_ends_well_ = false;
+TEST_F(request_relay_test, StreamWithoutTerminatorIsReportedUnknown) {
+  sends_terminator_ = false;
   Call();
   for (int i = 0; i < 2000 && events_.size() < 2; ++i) {
     event_base_loop(base_, EVLOOP_NONBLOCK);
@@ -145,10 +144,10 @@
   EXPECT_EQ(ended.attempt, 7U);
   EXPECT_EQ(ended.result, outcome::kUnknown);
   EXPECT_TRUE(ended.answer_begun);
-  relay_->Answer({.request = 1,
-                  .result = outcome::kUnknown,
-                  .status = 502,
-                  .message = "broke off"});
+  relay_->SendLocalResponse({.request = 1,
+                             .result = outcome::kUnknown,
+                             .status = 502,
+                             .message = "broke off"});
   event_base_dispatch(base_);
   EXPECT_EQ(body_.find("[DONE]"), std::string::npos);
   EXPECT_NE(body_.find("event: error"), std::string::npos);
