--- a/include/cuminswitch/Http1/caller_exchange.h
+++ b/include/cuminswitch/Http1/caller_exchange.h
@@ -1,5 +1,5 @@
 /// \file
-/// One caller's request and the way back to the caller.
+/// One request of a caller and its response.
 #ifndef CUMINSWITCH_HTTP1_CALLER_EXCHANGE_H_
 #define CUMINSWITCH_HTTP1_CALLER_EXCHANGE_H_
 
@@ -12,27 +12,29 @@
 
 namespace cuminswitch {
 
-/// Learns what becomes of a caller while its answer is under way.
+/// Receives the events of a caller's connection while its response is being
+/// sent.
 class caller_listener {
  public:
   virtual ~caller_listener() = default;
-  /// The caller closed its connection; the exchange is gone with the return.
+  /// The caller closed its connection. The exchange must not be used after this
+  /// call returns.
   virtual void OnCallerGone() = 0;
-  /// The caller has taken all that was sent.
+  /// All buffered output was written to the caller's socket.
   virtual void OnCallerDrained() = 0;
 };
 
-/// How an answer's body is delimited for the caller.
+/// How a response body is delimited.
 struct response_framing {
-  /// Without a length the body goes in chunks.
+  /// Without a length the body is sent in chunks.
   std::optional<uint64_t> content_length;
-  /// Close the connection after this answer.
+  /// Close the connection after this response.
   bool close = false;
 };
 
-/// A request that was read whole. The answer is sent by one `SendHead`, any
+/// A completely received request. The response is sent by one `SendHead`, any
 /// number of `SendBody`, and `Finish` or `Abort`, after which the exchange must
-/// not be touched again.
+/// not be used.
 class caller_exchange {
  public:
   virtual ~caller_exchange() = default;
@@ -40,7 +42,7 @@
   virtual const message_head& Head() const = 0;
   virtual const std::string& Body() const = 0;
   /// The network address that the caller connected from, without its port;
-  /// empty where it is not known.
+  /// empty if unknown.
   virtual std::string_view CallerAddress() const { return {}; }
 
   virtual void SetListener(caller_listener* listener) = 0;
@@ -49,13 +51,14 @@
                         const response_framing& framing) = 0;
   virtual void SendBody(std::string_view data) = 0;
   virtual void Finish() = 0;
-  /// Ends the connection so that the answer cannot pass for complete.
+  /// Ends the connection such that the caller cannot take the response for
+  /// complete.
   virtual void Abort() = 0;
-  /// Bytes that the caller has not taken yet.
+  /// Bytes buffered and not yet written to the caller's socket.
   virtual size_t PendingBytes() const = 0;
 };
 
-/// Sends a whole answer of our own and finishes the exchange.
+/// Sends a complete response with \p body and finishes the exchange.
 void Reply(caller_exchange& exchange,
            uint32_t status,
            const http_headers& headers,
--- a/include/cuminswitch/Http1/caller_server.h
+++ b/include/cuminswitch/Http1/caller_server.h
@@ -1,5 +1,5 @@
 /// \file
-/// Listens for callers.
+/// HTTP/1.1 server for callers.
 #ifndef CUMINSWITCH_HTTP1_CALLER_SERVER_H_
 #define CUMINSWITCH_HTTP1_CALLER_SERVER_H_
 
@@ -20,31 +20,32 @@
 class caller_connection;
 class caller_exchange;
 
-/// Takes requests that were read whole, in the loop's thread.
+/// Receives complete requests, on the event loop's thread.
 class caller_handler {
  public:
   virtual ~caller_handler() = default;
   virtual void OnRequest(caller_exchange& exchange) = 0;
 };
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size and duration of callers' requests. Sizes are in bytes.
 struct caller_limits {
   size_t max_head_size = 16UL << 10;
   size_t max_body_size = 4UL << 20;
-  /// From a request's first byte to the end of its head, and the longest
-  /// silence within its body.
+  /// Longest time from a request's first byte to the end of its head, and
+  /// between two reads of its body.
   std::chrono::milliseconds request_timeout{3'000};
-  /// How long a connection may stay without a request.
+  /// Longest time that a connection may stay open without a request.
   std::chrono::milliseconds idle_timeout{15'000};
 };
 
-/// Accepts connections, reads requests strictly, and hands them on one by one.
+/// Accepts connections, parses requests strictly, and passes each connection's
+/// requests to the handler one at a time.
 class caller_server {
  public:
-  /// Throws `bind_error` when \p listen cannot be had. What connections hold is
-  /// counted in \p account, which outlives the server; while that is full,
-  /// large requests are refused, and beyond that all. Without one there is no
-  /// limit.
+  /// Throws `bind_error` when \p listen cannot be bound. Bytes that connections
+  /// buffer are counted in \p account, which must outlive the server. While
+  /// `account->IsFull()` large requests are refused, and while
+  /// `account->IsOver()` all requests. Without an account there is no limit.
   caller_server(event_base* base,
                 const endpoint& listen,
                 caller_handler& handler,
@@ -55,14 +56,14 @@
 
   void SetLimits(const caller_limits& limits) { limits_ = limits; }
   const caller_limits& limits() const { return limits_; }
-  /// From now on answers announce the end of their connection.
+  /// From now on responses carry `Connection: close`.
   void BeginDrain() { is_draining_ = true; }
-  /// Stops to accept, and closes connections that carry no request.
+  /// Stops accepting connections and closes those without a request.
   void CloseIdle();
   bool IsDraining() const { return is_draining_; }
   size_t connection_count() const { return connections_.size(); }
   uint64_t accepted_count() const { return accepted_; }
-  /// Requests that were refused because too much was held.
+  /// Requests that were refused because of the memory limit.
   uint64_t refused_count() const { return refused_; }
   endpoint Address() const;
 
@@ -70,7 +71,7 @@
   friend class caller_connection;
 
   void Accept(int fd, std::string from);
-  /// Destroys the connection, from the loop.
+  /// Destroys the connection from the event loop, since it may be on the stack.
   void Drop(caller_connection* connection);
 
   event_base* base_;
@@ -86,7 +87,8 @@
   bool is_closed_ = false;
   std::unordered_map<caller_connection*, std::unique_ptr<caller_connection>>
       connections_;
-  /// Cleared when the server dies, so that late releases touch nothing.
+  /// False once the server is destroyed, so that deferred callbacks do not use
+  /// it.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/include/cuminswitch/Http1/message_head.h
+++ b/include/cuminswitch/Http1/message_head.h
@@ -12,34 +12,34 @@
 
 namespace cuminswitch {
 
-/// A request's or an answer's first line and header fields, and how its body
+/// The start line and header fields of a request or response, and how its body
 /// is delimited.
 struct message_head {
-  /// Of a request.
+  // Requests only.
   std::string method;
   std::string target;
-  /// Of an answer.
+  /// Responses only.
   uint32_t status = 0;
 
   http_headers headers;
   std::optional<uint64_t> content_length;
   bool is_chunked = false;
-  /// An answer without length: its body ends with the connection.
+  /// A response without a length: its body ends with the connection.
   bool ends_with_connection = false;
   /// Whether the sender will keep the connection open.
   bool keep_alive = false;
 
-  /// Returns the value of the field \p name, in any case of its letters, or an
-  /// empty text.
+  /// Returns the value of the field \p name, compared without case, or an empty
+  /// string.
   std::string_view Find(std::string_view name) const;
   bool Has(std::string_view name) const;
 };
 
-/// Compares field names: letters without case.
+/// Compares field names without case.
 bool IsSameFieldName(std::string_view a, std::string_view b);
 
-/// Whether the field concerns one connection only and is never forwarded.
-/// \p head may name further such fields in `Connection`.
+/// Whether \p name is a hop-by-hop field, which is never forwarded: one of the
+/// standard ones or one that \p head lists in `Connection`.
 bool IsConnectionField(const message_head& head, std::string_view name);
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Http1/message_reader.h
+++ b/include/cuminswitch/Http1/message_reader.h
@@ -1,5 +1,5 @@
 /// \file
-/// Reads HTTP/1.1 messages strictly, backed by http_parser.
+/// Strict HTTP/1.1 parser, based on http_parser.
 #ifndef CUMINSWITCH_HTTP1_MESSAGE_READER_H_
 #define CUMINSWITCH_HTTP1_MESSAGE_READER_H_
 
@@ -13,7 +13,7 @@
 
 namespace cuminswitch {
 
-/// Takes a message's parts as they are read.
+/// Receives the parts of a message as they are parsed.
 class message_sink {
  public:
   virtual ~message_sink() = default;
@@ -21,22 +21,22 @@
   virtual void OnBody(std::string_view data) = 0;
 };
 
-/// What reading came to.
+/// Result of parsing a piece of the stream.
 enum class read_result : uint8_t {
   kNeedMore,
-  /// One message is whole; what was not consumed belongs to the next one.
+  /// One message is complete; unconsumed bytes belong to the next one.
   kMessageDone,
   kMalformed,
   kHeadTooLarge,
   kBodyTooLarge,
 };
 
-/// Reads one message after another from a byte stream.
+/// Parses consecutive messages from a byte stream.
 ///
-/// The library's parser forgives what two implementations may read in two
-/// ways: bare line feeds, folded fields, several lengths. Forgiving them lets
-/// a caller hide one request inside another, so a head is checked in full
-/// before the parser sees it.
+/// http_parser accepts input that other implementations may interpret
+/// differently: bare line feeds, folded fields, several lengths. Accepting it
+/// allows request smuggling, so the complete head is validated before it is
+/// passed to http_parser.
 class message_reader {
  public:
   enum class kind : uint8_t { kRequest, kResponse };
@@ -52,14 +52,15 @@
   ~message_reader();
 
   void SetLimits(size_t max_head_size, size_t max_body_size);
-  /// The next answer has no body, since its request was a HEAD.
+  /// The next response has no body, since its request was a HEAD.
   void ExpectNoBody() { no_body_ = true; }
-  /// Reads from \p data and sets \p consumed to the bytes taken.
+  /// Parses \p data up to the end of a message and sets \p consumed to the
+  /// number of bytes parsed.
   read_result Read(std::string_view data, size_t& consumed);
-  /// The sender closed its side in good order. Returns `kMessageDone` when
-  /// that was the end of an answer without length.
+  /// The sender closed its side of the connection in an orderly way. Returns
+  /// `kMessageDone` when that ended a response without a length.
   read_result ReadEnd();
-  /// Whether some of a message, but not all, was read.
+  /// Whether a message is partially read.
   bool IsInMessage() const { return !head_text_.empty() || in_body_; }
   bool IsInBody() const { return in_body_; }
 
@@ -67,7 +68,8 @@
   struct parser;
   struct callbacks;
 
-  /// Gathers a head; `kMessageDone` says that it is whole and well formed.
+  /// Collects the bytes of a head; `kMessageDone` means that it is complete and
+  /// well formed.
   read_result ReadHead(std::string_view data, size_t& consumed);
   read_result ParseHead();
   read_result Execute(std::string_view data, size_t& consumed);
@@ -83,7 +85,7 @@
   uint64_t body_size_ = 0;
   bool in_body_ = false;
   bool no_body_ = false;
-  /// The next field name begins a new field.
+  /// Whether the next piece of a field name begins a new field.
   bool name_is_whole_ = true;
   bool is_done_ = false;
   bool is_too_large_ = false;
--- a/include/cuminswitch/Http1/upstream_call.h
+++ b/include/cuminswitch/Http1/upstream_call.h
@@ -1,5 +1,5 @@
 /// \file
-/// One request to an upstream.
+/// Interface of one request to an upstream.
 #ifndef CUMINSWITCH_HTTP1_UPSTREAM_CALL_H_
 #define CUMINSWITCH_HTTP1_UPSTREAM_CALL_H_
 
@@ -14,7 +14,7 @@
 
 namespace cuminswitch {
 
-/// A request to send. It is sent with a length.
+/// A request to send. It gets a `Content-Length`, except a GET without a body.
 struct upstream_request {
   endpoint to;
   std::string method;
@@ -22,24 +22,24 @@
   http_headers headers;
   std::string_view body;
   std::chrono::milliseconds connect_timeout{1'000};
-  /// Use only a kept connection that has been idle for less than this; zero
-  /// opens a new one.
+  /// Reuse a pooled connection only if it has been idle for less than this;
+  /// zero opens a new connection.
   std::chrono::milliseconds max_idle{0};
 };
 
 /// How a call ended.
 enum class upstream_call_result : uint8_t {
-  /// The answer is whole.
+  /// The response is complete.
   kComplete,
-  /// No connection came about: not one byte was sent.
+  /// The connection could not be established: no byte of the request was sent.
   kNotConnected,
-  /// The connection broke after bytes may have been sent.
+  /// The connection was lost after bytes may have been sent.
   kBroken,
-  /// What came back is not HTTP.
+  /// The response is not valid HTTP or exceeds a size limit.
   kMalformed,
 };
 
-/// Takes a call's events. It may destroy the call in any of them.
+/// Receives a call's events. It may destroy the call in any of them.
 class upstream_handler {
  public:
   virtual ~upstream_handler() = default;
@@ -48,15 +48,16 @@
   virtual void OnCallEnd(upstream_call_result end) = 0;
 };
 
-/// A call under way; destroying it cancels it by closing its connection.
+/// A call in progress; destroying it cancels it by closing its connection.
 class upstream_call {
  public:
   virtual ~upstream_call() = default;
-  /// Stops and resumes reading, to bound what is buffered.
+  /// Pauses and resumes reading, to bound the bytes that are buffered.
   virtual void PauseReading() = 0;
   virtual void ResumeReading() = 0;
-  /// Whether the request went over a connection that had served others.
-  virtual bool IsOnKeptConnection() const = 0;
+  /// Whether the request was sent on a connection that had carried earlier
+  /// requests.
+  virtual bool IsOnReusedConnection() const = 0;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Http1/upstream_pool.h
+++ b/include/cuminswitch/Http1/upstream_pool.h
@@ -1,5 +1,5 @@
 /// \file
-/// Kept connections to upstreams.
+/// Pool of connections to upstreams.
 #ifndef CUMINSWITCH_HTTP1_UPSTREAM_POOL_H_
 #define CUMINSWITCH_HTTP1_UPSTREAM_POOL_H_
 
@@ -21,11 +21,12 @@
 class upstream_connection;
 
 /// Makes calls on one event loop. Each connection carries one request at a
-/// time and is kept for as long as its upstream announced.
+/// time and stays in the pool for four fifths of the time that its upstream
+/// announced in `Keep-Alive`.
 class upstream_pool {
  public:
-  /// What connections hold is counted in \p account, which outlives the pool;
-  /// without one it is not limited.
+  /// Bytes that connections buffer are counted in \p account, which must
+  /// outlive the pool; without an account there is no limit.
   explicit upstream_pool(event_base* base, byte_account* account = nullptr);
   upstream_pool(const upstream_pool&) = delete;
   upstream_pool& operator=(const upstream_pool&) = delete;
@@ -33,16 +34,16 @@
 
   std::unique_ptr<upstream_call> Start(const upstream_request& request,
                                        upstream_handler& handler);
-  /// Closes the idle connections to \p to, whose upstream is gone.
+  /// Closes the idle connections to \p to, whose upstream was removed.
   void Forget(const endpoint& to);
-  /// How many idle connections may be kept to an upstream; nothing where that
-  /// is not known.
+  /// Returns how many idle connections to an upstream may be pooled, or nothing
+  /// if that is unknown.
   using idle_limit = std::function<std::optional<size_t>(const endpoint& to)>;
 
-  /// Sets what is asked when a connection could be kept. Where \p limit knows
-  /// nothing a few are kept.
+  /// Sets the function that limits idle connections per upstream. Where
+  /// \p limit returns nothing, a default limit applies.
   void SetIdleLimit(idle_limit limit) { idle_limit_ = std::move(limit); }
-  /// Closes what is kept beyond the limits, which have changed.
+  /// Closes the idle connections in excess of the limits, after these changed.
   void TrimIdle();
   uint64_t opened_count() const { return opened_; }
   const byte_account& account() const { return account_; }
@@ -52,10 +53,10 @@
   friend class pooled_call;
 
   std::unique_ptr<upstream_connection> Acquire(const upstream_request& request);
-  void GiveBack(std::unique_ptr<upstream_connection> connection);
+  void ReturnToPool(std::unique_ptr<upstream_connection> connection);
   size_t IdleLimit(const endpoint& to) const;
   void DropIdle(upstream_connection* connection);
-  /// Destroys a connection that may be on the stack, from the loop.
+  /// Destroys the connection from the event loop, since it may be on the stack.
   void Release(std::unique_ptr<upstream_connection> connection);
 
   event_base* base_;
--- a/lib/Http1/caller_connection.cc
+++ b/lib/Http1/caller_connection.cc
@@ -19,15 +19,18 @@
 
 namespace cuminswitch {
 
-/// Unread bytes kept while an answer is under way; more stay in the kernel.
+/// Input bytes buffered while a response is being sent; more stay in the
+/// kernel's socket buffer.
 static constexpr size_t kMaxReadAhead = 64UL << 10;
-/// How long a caller may go on sending after its request was rejected. Closing
-/// with unread bytes resets the connection, and the answer can be lost with it.
+/// How long input is discarded after the response before the connection is
+/// closed. Closing a socket with unread bytes resets the connection, and the
+/// response can be lost with it.
 static constexpr std::chrono::milliseconds kLingerTime{500};
-/// Bytes of a body that is taken in also where large ones are refused.
-static constexpr size_t kSmallBody = 16UL << 10;
-/// Seconds until a request that was refused for memory may come again. Slow
-/// callers hold what they hold for seconds; other hosts have room.
+/// Largest body, in bytes, that is still accepted while large ones are refused
+/// because of the memory limit.
+static constexpr size_t kSmallBodySize = 16UL << 10;
+/// `Retry-After`, in seconds, of a request refused because of the memory limit.
+/// Slow callers occupy memory for seconds, but other hosts may have capacity.
 static constexpr char kMemoryRetryAfter[] = "1";
 
 caller_connection::caller_connection(caller_server& server,
@@ -117,11 +120,11 @@
       case read_result::kNeedMore:
         if (reader_.IsInBody()) {
           timer_.Start(server_.limits_.request_timeout);
-          RefuseIfNoRoom();
+          RejectIfOverMemoryLimit();
         }
         break;
       case read_result::kMessageDone:
-        if (!RefuseIfNoRoom()) {
+        if (!RejectIfOverMemoryLimit()) {
           OnRequestRead();
         }
         break;
@@ -140,28 +143,28 @@
 }
 
 void caller_connection::OnRequestRead() {
-  stage_ = stage::kAnswering;
+  stage_ = stage::kResponding;
   timer_.Cancel();
   close_after_ = !head_.keep_alive;
   server_.handler_.OnRequest(*this);
 }
 
 void caller_connection::Reject(uint32_t status) {
-  stage_ = stage::kAnswering;
+  stage_ = stage::kResponding;
   close_after_ = true;
   timer_.Cancel();
   Reply(*this, status, {}, {}, true);
 }
 
-bool caller_connection::RefuseIfNoRoom() {
+bool caller_connection::RejectIfOverMemoryLimit() {
   const byte_account& account = server_.account_;
-  const bool is_large = body_.size() > kSmallBody;
+  const bool is_large = body_.size() > kSmallBodySize;
   if (!account.IsOver() && !(is_large && account.IsFull())) {
     return false;
   }
   ++server_.refused_;
   ClearBody();
-  stage_ = stage::kAnswering;
+  stage_ = stage::kResponding;
   timer_.Cancel();
   Reply(*this, status_code::kUnavailable,
         {{.name = "Retry-After", .value = kMemoryRetryAfter}}, {}, true);
@@ -213,9 +216,10 @@
     bufferevent_write(stream_, kLastChunk.data(), kLastChunk.size());
   }
   listener_ = nullptr;
-  // Also where the head went out before the drain began and announced nothing.
+  // A head sent before the drain began did not announce the close; the
+  // connection is closed nevertheless.
   if (close_after_ || server_.IsDraining()) {
-    CloseGently();
+    CloseGracefully();
     return;
   }
   BecomeIdle();
@@ -224,10 +228,11 @@
 
 void caller_connection::Abort() {
   listener_ = nullptr;
-  // Events that came along with the break still reach their caller, who can go
-  // on after them; without its last chunk the answer is visibly not whole.
+  // Events read together with the upstream's failure are still delivered, so
+  // that the caller can resume after them. The missing last chunk shows that
+  // the response is incomplete.
   if (is_chunked_ && PendingBytes() > 0) {
-    CloseGently();
+    CloseGracefully();
   } else {
     CloseNow();
   }
@@ -237,14 +242,14 @@
   return evbuffer_get_length(bufferevent_get_output(stream_));
 }
 
-void caller_connection::CloseGently() {
+void caller_connection::CloseGracefully() {
   stage_ = stage::kClosing;
   timer_.Start(kLingerTime);
   OnWritten();
 }
 
 void caller_connection::OnWritten() {
-  if (stage_ == stage::kAnswering && listener_ != nullptr) {
+  if (stage_ == stage::kResponding && listener_ != nullptr) {
     listener_->OnCallerDrained();
     return;
   }
@@ -271,9 +276,9 @@
   if (stage_ != stage::kIdle) {
     return;
   }
-  // The last answer's end may still be on its way.
+  // The end of the last response may still be in the output buffer.
   if (PendingBytes() > 0) {
-    CloseGently();
+    CloseGracefully();
   } else {
     CloseNow();
   }
--- a/lib/Http1/caller_connection.h
+++ b/lib/Http1/caller_connection.h
@@ -1,5 +1,5 @@
 /// \file
-/// One caller's connection.
+/// A connection from a caller.
 #ifndef CUMINSWITCH_LIB_HTTP1_CALLER_CONNECTION_H_
 #define CUMINSWITCH_LIB_HTTP1_CALLER_CONNECTION_H_
 
@@ -17,7 +17,7 @@
 class caller_server;
 class counted_stream;
 
-/// Reads requests one at a time; those that were sent ahead wait unread.
+/// Reads requests one at a time; pipelined requests stay in the input buffer.
 class caller_connection : public caller_exchange, private message_sink {
  public:
   caller_connection(caller_server& server, int fd, std::string from);
@@ -35,11 +35,11 @@
   void Abort() override;
   size_t PendingBytes() const override;
 
-  /// Closes it unless a request is being read or answered.
+  /// Closes the connection unless a request is being read or answered.
   void CloseIfIdle();
 
  private:
-  enum class stage : uint8_t { kIdle, kReading, kAnswering, kClosing };
+  enum class stage : uint8_t { kIdle, kReading, kResponding, kClosing };
 
   void OnHead(message_head head) override;
   void OnBody(std::string_view data) override;
@@ -50,13 +50,15 @@
   void OnTimeout();
   void ReadRequests();
   void OnRequestRead();
-  /// Answers what could not be read as a request, and closes.
+  /// Responds with \p status to input that is not a valid request, and closes.
   void Reject(uint32_t status);
-  /// Refuses a request that is being read if too much is held.
-  bool RefuseIfNoRoom();
+  /// Rejects the request being read if the memory limit is reached; returns
+  /// whether it did.
+  bool RejectIfOverMemoryLimit();
   void ClearBody();
-  /// Closes once everything is written and the caller has stopped to send.
-  void CloseGently();
+  /// Closes once all output is written and the caller has closed its side, or
+  /// after `kLingerTime`.
+  void CloseGracefully();
   void CloseNow();
   void BecomeIdle();
 
@@ -73,7 +75,7 @@
   bool is_chunked_ = false;
   bool close_after_ = false;
   bool is_dropped_ = false;
-  /// `ReadRequests` is on the stack.
+  /// Whether `ReadRequests` is on the stack.
   bool is_reading_ = false;
 };
 
--- a/lib/Http1/caller_server.cc
+++ b/lib/Http1/caller_server.cc
@@ -18,8 +18,8 @@
 
 namespace cuminswitch {
 
-/// Connections that may wait to be accepted. A full queue drops the opening
-/// packet, which costs its caller a second or more.
+/// Length of the queue of connections to accept. A full queue drops the SYN,
+/// which the caller retransmits only after a second or more.
 static constexpr int kBacklog = 1024;
 
 caller_server::caller_server(event_base* base,
@@ -61,7 +61,7 @@
 }
 
 void caller_server::Drop(caller_connection* connection) {
-  // It may be on the stack, so it is destroyed from the loop.
+  // The connection may be on the stack, so it is destroyed from the event loop.
   CallLater(base_, [this, alive = alive_, connection] {
     if (*alive) {
       connections_.erase(connection);
--- a/lib/Http1/head_check.cc
+++ b/lib/Http1/head_check.cc
@@ -40,15 +40,15 @@
 }
 
 static bool IsStatusLine(std::string_view line) {
-  static constexpr size_t kLeastLength = 12;  // "HTTP/1.1 200"
-  return line.size() >= kLeastLength &&
+  static constexpr size_t kMinLength = 12;  // "HTTP/1.1 200"
+  return line.size() >= kMinLength &&
          (line.starts_with("HTTP/1.1 ") || line.starts_with("HTTP/1.0 ")) &&
          std::all_of(line.begin(), line.end(), IsValueCharacter);
 }
 
 namespace {
 
-/// Counts the fields that may stand only once.
+/// Counts of the fields that may occur only once.
 struct field_counts {
   int lengths = 0;
   int codings = 0;
@@ -58,8 +58,8 @@
 }  // namespace
 
 static bool IsNumber(std::string_view text) {
-  static constexpr size_t kMostDigits = 18;
-  return !text.empty() && text.size() <= kMostDigits &&
+  static constexpr size_t kMaxDigits = 18;
+  return !text.empty() && text.size() <= kMaxDigits &&
          std::all_of(text.begin(), text.end(),
                      [](unsigned char c) { return std::isdigit(c) != 0; });
 }
--- a/lib/Http1/head_check.h
+++ b/lib/Http1/head_check.h
@@ -1,5 +1,5 @@
 /// \file
-/// Checks the text of a message's head.
+/// Validates the head of a message.
 #ifndef CUMINSWITCH_LIB_HTTP1_HEAD_CHECK_H_
 #define CUMINSWITCH_LIB_HTTP1_HEAD_CHECK_H_
 
@@ -7,11 +7,11 @@
 
 namespace cuminswitch {
 
-/// Whether \p head, up to and with its empty line, can be read in one way
-/// only: lines end in CRLF, fields are `name: value` with a token for a name,
-/// no control characters, one length at most and never beside a transfer
-/// coding, `chunked` the only coding. \p is_request also wants `HTTP/1.x`, a
-/// target that begins with a slash and exactly one `Host`.
+/// Whether \p head, up to and including its empty line, is unambiguous: lines
+/// end in CRLF, fields are `name: value` with a token as the name, there are no
+/// control characters, at most one length and none beside a transfer coding,
+/// and `chunked` is the only coding. With \p is_request it also requires
+/// `HTTP/1.x`, a target that begins with a slash and exactly one `Host`.
 bool IsStrictHead(std::string_view head, bool is_request);
 
 }  // namespace cuminswitch
--- a/lib/Http1/message_head.cc
+++ b/lib/Http1/message_head.cc
@@ -29,7 +29,7 @@
   return FindField(headers, name) != nullptr;
 }
 
-/// Whether the comma-separated \p list names \p wanted.
+/// Whether the comma-separated \p list contains \p wanted.
 static bool ListNames(std::string_view list, std::string_view wanted) {
   while (!list.empty()) {
     const size_t comma = std::min(list.find(','), list.size());
--- a/lib/Http1/message_reader.cc
+++ b/lib/Http1/message_reader.cc
@@ -18,7 +18,7 @@
   http_parser state{};
 };
 
-/// The library's callbacks; `data` is the reader.
+/// Callbacks of http_parser, whose `data` points to the reader.
 struct message_reader::callbacks {
   static message_reader& Of(http_parser* state) {
     return *static_cast<message_reader*>(state->data);
@@ -31,8 +31,8 @@
 
   static int OnFieldName(http_parser* state, const char* at, size_t size) {
     message_reader& self = Of(state);
-    // Fields after a chunked body are dropped: nothing here has a use for
-    // them, and a late field must not pass for one of the head.
+    // Trailer fields are dropped: nothing uses them, and they must not be taken
+    // for fields of the head.
     if (self.in_body_) {
       return 0;
     }
@@ -57,8 +57,8 @@
 
   static int OnHeadEnd(http_parser* state) {
     message_reader& self = Of(state);
-    // A change of protocol is never offered, so the bytes that follow stay
-    // HTTP whatever the sender asks for.
+    // Protocol upgrades are never accepted, so the bytes that follow are parsed
+    // as HTTP even if the sender requests an upgrade.
     state->upgrade = 0;
     self.FillHead();
     return self.no_body_ ? 1 : 0;
@@ -77,7 +77,7 @@
 
   static int OnMessageEnd(http_parser* state) {
     Of(state).is_done_ = true;
-    // What follows belongs to the next message.
+    // The bytes that follow belong to the next message.
     http_parser_pause(state, 1);
     return 0;
   }
@@ -198,7 +198,7 @@
     return result;
   }
   if (!is_request && head_.status < kFirstFinalStatus) {
-    // An interim answer; the final one follows.
+    // An interim response; the final one follows.
     Reset();
     return read_result::kNeedMore;
   }
--- a/lib/Http1/pooled_call.h
+++ b/lib/Http1/pooled_call.h
@@ -1,5 +1,5 @@
 /// \file
-/// A call on a connection of a pool.
+/// A call on a connection of an `upstream_pool`.
 #ifndef CUMINSWITCH_LIB_HTTP1_POOLED_CALL_H_
 #define CUMINSWITCH_LIB_HTTP1_POOLED_CALL_H_
 
@@ -12,7 +12,7 @@
 class upstream_connection;
 class upstream_pool;
 
-/// Owns the connection while the call is under way.
+/// Owns the connection while the call is in progress.
 class pooled_call : public upstream_call {
  public:
   pooled_call(upstream_pool& pool,
@@ -24,17 +24,19 @@
 
   void PauseReading() override;
   void ResumeReading() override;
-  bool IsOnKeptConnection() const override { return is_on_kept_connection_; }
+  bool IsOnReusedConnection() const override {
+    return is_on_reused_connection_;
+  }
 
   upstream_handler& handler() { return handler_; }
-  /// The call has ended; the connection goes back to the pool.
-  void End(upstream_call_result end);
+  /// Returns the connection to the pool and reports \p result to the handler.
+  void End(upstream_call_result result);
 
  private:
   upstream_pool& pool_;
   std::unique_ptr<upstream_connection> connection_;
   upstream_handler& handler_;
-  bool is_on_kept_connection_ = false;
+  bool is_on_reused_connection_ = false;
 };
 
 }  // namespace cuminswitch
--- a/lib/Http1/read_front.h
+++ b/lib/Http1/read_front.h
@@ -1,5 +1,5 @@
 /// \file
-/// Hands arrived bytes to a message reader.
+/// Passes received bytes to a message reader.
 #ifndef CUMINSWITCH_LIB_HTTP1_READ_FRONT_H_
 #define CUMINSWITCH_LIB_HTTP1_READ_FRONT_H_
 
@@ -9,8 +9,8 @@
 
 namespace cuminswitch {
 
-/// Lets \p reader read the first piece of \p input, which is not empty, without
-/// copying it, and removes what it took.
+/// Parses the first contiguous segment of \p input, which must not be empty,
+/// without copying it, and removes the consumed bytes.
 inline read_result ReadFront(message_reader& reader, evbuffer* input) {
   evbuffer_iovec part{};
   evbuffer_peek(input, -1, nullptr, &part, 1);
--- a/lib/Http1/status_text.h
+++ b/lib/Http1/status_text.h
@@ -1,5 +1,5 @@
 /// \file
-/// Reason phrases.
+/// Reason phrases of HTTP statuses.
 #ifndef CUMINSWITCH_LIB_HTTP1_STATUS_TEXT_H_
 #define CUMINSWITCH_LIB_HTTP1_STATUS_TEXT_H_
 
@@ -9,7 +9,7 @@
 
 namespace cuminswitch {
 
-/// Returns the phrase that goes with \p status on an answer's first line.
+/// Returns the reason phrase of \p status for a response's status line.
 inline const char* StatusText(uint32_t status) {
   return http_status_str(static_cast<http_status>(status));
 }
--- a/lib/Http1/upstream_connection.cc
+++ b/lib/Http1/upstream_connection.cc
@@ -18,15 +18,15 @@
 
 namespace cuminswitch {
 
-/// An upstream that announces no time may close at once; a connection to it is
-/// kept this long.
-static constexpr std::chrono::seconds kUnannouncedKeepTime{1};
-/// Bytes of an answer's head; more is not an answer.
-static constexpr size_t kMaxAnswerHead = 64UL << 10;
-static constexpr size_t kMaxAnswerBody = 256UL << 20;
-/// Bytes that a peer does not acknowledge for this long are given up, and the
-/// connection breaks: a host without power answers nothing. Two lost packets
-/// in a row are sent again within it.
+/// How long a connection stays in the pool if its upstream announces no
+/// keep-alive time; such an upstream may close it at any moment.
+static constexpr std::chrono::seconds kDefaultKeepAliveTime{1};
+/// Largest head and body of a response, in bytes.
+static constexpr size_t kMaxResponseHead = 64UL << 10;
+static constexpr size_t kMaxResponseBody = 256UL << 20;
+/// `TCP_USER_TIMEOUT`: the kernel closes the connection if sent bytes stay
+/// unacknowledged for this long, which detects a host that lost power. It is
+/// long enough to retransmit after two consecutive lost packets.
 static constexpr int kUserTimeoutMs = 700;
 
 upstream_connection::upstream_connection(upstream_pool& pool,
@@ -34,8 +34,8 @@
     : pool_(pool),
       to_(to),
       reader_({.reads = message_reader::kind::kResponse,
-               .max_head_size = kMaxAnswerHead,
-               .max_body_size = kMaxAnswerBody},
+               .max_head_size = kMaxResponseHead,
+               .max_body_size = kMaxResponseBody},
               *this),
       timer_(pool.base_, [this] { OnTimeout(); }) {
   stream_ = bufferevent_socket_new(pool.base_, -1, BEV_OPT_CLOSE_ON_FREE);
@@ -89,7 +89,7 @@
   if (bufferevent_socket_connect(stream_,
                                  reinterpret_cast<const sockaddr*>(&address),
                                  sizeof(address)) != 0) {
-    // The failure is told from the loop, by the timer.
+    // The timer reports the failure from the event loop.
     timer_.Start(std::chrono::milliseconds(0));
     return;
   }
@@ -102,8 +102,8 @@
 
 void upstream_connection::Cancel() {
   call_ = nullptr;
-  // A request that the link still holds would run although nobody waits for it;
-  // a reset drops it, an orderly close would deliver it.
+  // With an orderly close, a request that is still queued would be delivered
+  // and run although its caller has left; a reset drops it.
   const linger reset{.l_onoff = 1, .l_linger = 0};
   setsockopt(bufferevent_getfd(stream_), SOL_SOCKET, SO_LINGER, &reset,
              sizeof(reset));
@@ -126,12 +126,12 @@
   return evbuffer_get_length(bufferevent_get_output(stream_)) > 0;
 }
 
-/// Reads `timeout=N` out of a Keep-Alive field.
-static std::chrono::seconds ReadKeepTime(std::string_view field) {
+/// Parses `timeout=N`, in seconds, from a `Keep-Alive` field.
+static std::chrono::seconds ParseKeepAliveTimeout(std::string_view field) {
   static constexpr std::string_view kTimeout = "timeout=";
   const size_t at = field.find(kTimeout);
   if (at == std::string_view::npos) {
-    return kUnannouncedKeepTime;
+    return kDefaultKeepAliveTime;
   }
   const std::string_view digits = field.substr(at + kTimeout.size());
   int seconds = 0;
@@ -141,7 +141,7 @@
 
 void upstream_connection::OnHead(message_head head) {
   close_announced_ = !head.keep_alive || head.ends_with_connection;
-  keep_time_ = ReadKeepTime(head.Find("Keep-Alive"));
+  keep_alive_time_ = ParseKeepAliveTimeout(head.Find("Keep-Alive"));
   if (call_ != nullptr) {
     call_->handler().OnResponseHead(head);
   }
@@ -156,8 +156,8 @@
 void upstream_connection::OnReadable() {
   evbuffer* input = bufferevent_get_input(stream_);
   if (call_ == nullptr) {
-    // Bytes that answer no request: what follows on this connection could be
-    // taken for the next request's answer.
+    // Unsolicited bytes: they could be taken for the response to the next
+    // request on this connection.
     is_reusable_ = false;
     pool_.DropIdle(this);
     return;
@@ -208,20 +208,23 @@
   }
 }
 
-void upstream_connection::End(upstream_call_result end) {
+void upstream_connection::End(upstream_call_result result) {
   ++served_;
   const bool has_more = evbuffer_get_length(bufferevent_get_input(stream_)) > 0;
-  // An answer that came before the whole request was sent leaves the rest of
-  // the request due; nothing else may be sent in its place.
-  is_reusable_ = end == upstream_call_result::kComplete && !close_announced_ &&
-                 !has_more && !HasUnsentBytes() && keep_time_.count() > 0;
+  // If the response arrived before the request was completely sent, the
+  // upstream still expects the rest of the request, so nothing else may be sent
+  // on the connection.
+  is_reusable_ = result == upstream_call_result::kComplete &&
+                 !close_announced_ && !has_more && !HasUnsentBytes() &&
+                 keep_alive_time_.count() > 0;
   idle_since_ = std::chrono::steady_clock::now();
   if (is_reusable_) {
-    // Well before the upstream closes it, so that no request crosses that.
-    timer_.Start(std::chrono::milliseconds(keep_time_) * 4 / 5);
+    // Close the idle connection well before the upstream does, so that no
+    // request is sent while the upstream is closing it.
+    timer_.Start(std::chrono::milliseconds(keep_alive_time_) * 4 / 5);
   }
   if (pooled_call* call = std::exchange(call_, nullptr)) {
-    call->End(end);
+    call->End(result);
   }
 }
 
--- a/lib/Http1/upstream_connection.h
+++ b/lib/Http1/upstream_connection.h
@@ -1,5 +1,5 @@
 /// \file
-/// One connection to an upstream.
+/// A connection to an upstream.
 #ifndef CUMINSWITCH_LIB_HTTP1_UPSTREAM_CONNECTION_H_
 #define CUMINSWITCH_LIB_HTTP1_UPSTREAM_CONNECTION_H_
 
@@ -18,7 +18,7 @@
 class pooled_call;
 class upstream_pool;
 
-/// Sends one request at a time and reads its answer.
+/// Sends one request at a time and reads its response.
 class upstream_connection : private message_sink {
  public:
   upstream_connection(upstream_pool& pool, const endpoint& to);
@@ -26,16 +26,17 @@
   upstream_connection& operator=(const upstream_connection&) = delete;
   ~upstream_connection() override;
 
-  /// Begins a call; its events go to \p call until the end or `Cancel`.
+  /// Begins a call. Its events go to \p call until it ends or `Cancel`.
   void Send(const upstream_request& request, pooled_call& call);
-  /// Cancels the present call. Bytes that are still on their way go no further.
+  /// Cancels the current call. Closing the connection afterwards resets it, so
+  /// that unsent bytes are dropped.
   void Cancel();
   void SetReading(bool on);
 
   const endpoint& to() const { return to_; }
   bool HasServed() const { return served_ > 0; }
   std::chrono::milliseconds IdleFor() const;
-  /// Whether it may carry another request.
+  /// Whether the connection can carry another request.
   bool IsReusable() const { return is_reusable_; }
 
  private:
@@ -46,7 +47,7 @@
   void OnReadable();
   void OnEvent(short what);
   void OnTimeout();
-  void End(upstream_call_result end);
+  void End(upstream_call_result result);
   void BecomeIdle();
   bool HasUnsentBytes() const;
 
@@ -61,7 +62,7 @@
   bool is_reusable_ = false;
   bool close_announced_ = false;
   uint32_t served_ = 0;
-  std::chrono::seconds keep_time_{0};
+  std::chrono::seconds keep_alive_time_{0};
   std::chrono::steady_clock::time_point idle_since_;
 };
 
--- a/lib/Http1/upstream_pool.cc
+++ b/lib/Http1/upstream_pool.cc
@@ -9,8 +9,8 @@
 
 namespace cuminswitch {
 
-/// Idle connections kept to an upstream that names no limit; descriptors are
-/// few on small hosts.
+/// Idle connections pooled per upstream whose limit is unknown. Small hosts
+/// have few file descriptors.
 static constexpr size_t kMaxIdlePerUpstream = 16;
 
 upstream_pool::upstream_pool(event_base* base, byte_account* account)
@@ -56,22 +56,23 @@
 }
 
 void upstream_pool::TrimIdle() {
-  for (auto& [to, kept] : idle_) {
+  for (auto& [to, pooled] : idle_) {
     const size_t limit = IdleLimit(to);
-    while (kept.size() > limit) {
-      // The one that was used longest ago.
-      std::unique_ptr<upstream_connection> oldest = std::move(kept.front());
-      kept.erase(kept.begin());
+    while (pooled.size() > limit) {
+      // The least recently used connection.
+      std::unique_ptr<upstream_connection> oldest = std::move(pooled.front());
+      pooled.erase(pooled.begin());
       Release(std::move(oldest));
     }
   }
   std::erase_if(idle_, [](const auto& item) { return item.second.empty(); });
 }
 
-void upstream_pool::GiveBack(std::unique_ptr<upstream_connection> connection) {
-  auto& kept = idle_[connection->to()];
-  if (connection->IsReusable() && kept.size() < IdleLimit(connection->to())) {
-    kept.push_back(std::move(connection));
+void upstream_pool::ReturnToPool(
+    std::unique_ptr<upstream_connection> connection) {
+  auto& pooled = idle_[connection->to()];
+  if (connection->IsReusable() && pooled.size() < IdleLimit(connection->to())) {
+    pooled.push_back(std::move(connection));
     return;
   }
   Release(std::move(connection));
@@ -82,16 +83,16 @@
   if (found == idle_.end()) {
     return;
   }
-  auto& kept = found->second;
+  auto& pooled = found->second;
   const auto item = std::find_if(
-      kept.begin(), kept.end(),
+      pooled.begin(), pooled.end(),
       [connection](const auto& other) { return other.get() == connection; });
-  if (item == kept.end()) {
+  if (item == pooled.end()) {
     return;
   }
   std::unique_ptr<upstream_connection> dropped = std::move(*item);
-  kept.erase(item);
-  if (kept.empty()) {
+  pooled.erase(item);
+  if (pooled.empty()) {
     idle_.erase(found);
   }
   Release(std::move(dropped));
@@ -109,7 +110,7 @@
     : pool_(pool),
       connection_(std::move(connection)),
       handler_(handler),
-      is_on_kept_connection_(connection_->HasServed()) {}
+      is_on_reused_connection_(connection_->HasServed()) {}
 
 pooled_call::~pooled_call() {
   if (connection_ != nullptr) {
@@ -130,10 +131,10 @@
   }
 }
 
-void pooled_call::End(upstream_call_result end) {
+void pooled_call::End(upstream_call_result result) {
   connection_->SetReading(true);
-  pool_.GiveBack(std::move(connection_));
-  handler_.OnCallEnd(end);
+  pool_.ReturnToPool(std::move(connection_));
+  handler_.OnCallEnd(result);
 }
 
 }  // namespace cuminswitch
--- a/unittests/Http1/caller_server_test.cc
+++ b/unittests/Http1/caller_server_test.cc
@@ -1,4 +1,4 @@
-// What callers get for what they send, byte by byte.
+// Responses of the caller server to raw input.
 #include "cuminswitch/Http1/caller_server.h"
 
 #include <event2/event.h>
@@ -21,7 +21,7 @@
   bool gone = false;
 };
 
-constexpr size_t kHeldLimit = 100'000;
+constexpr size_t kMemoryLimit = 100'000;
 
 class caller_server_test : public testing::Test, public caller_handler {
  protected:
@@ -45,10 +45,11 @@
     Reply(exchange, 200, {}, exchange.Head().target, false);
   }
 
-  /// Sends \p data and returns the reply up to \p end, or up to the close.
-  std::string Ask(raw_socket& caller,
-                  const std::string& data,
-                  const std::string& end) {
+  /// Sends \p data and returns all received bytes once they contain \p end or
+  /// the connection is closed.
+  std::string SendAndReceive(raw_socket& caller,
+                             const std::string& data,
+                             const std::string& end) {
     caller.Send(data);
     RunUntil(base_, [&] {
       caller.Poll();
@@ -58,7 +59,7 @@
   }
 
   event_base* base_;
-  byte_account account_{kHeldLimit};
+  byte_account account_{kMemoryLimit};
   caller_server server_;
   std::vector<std::string> targets_;
   std::vector<std::string> bodies_;
@@ -67,24 +68,23 @@
   recording_listener listener_;
 };
 
-// Symptom: a caller that sends its next request early waits for ever.
-// Sequence: two requests arrive in one segment.
-// Cause: what came behind the first request was thrown away.
-TEST_F(caller_server_test, AnswersRequestsSentAheadInOrder) {
+// If bytes after the first request were discarded, a caller that pipelines
+// requests in one segment would wait for ever.
+TEST_F(caller_server_test, AnswersPipelinedRequestsInOrder) {
   raw_socket caller(raw_socket::Connect(server_.Address()));
-  const std::string reply =
-      Ask(caller,
-          "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n"
-          "POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab"
-          "GET /3 HTTP/1.1\r\nHost: h\r\n\r\n",
-          "/3");
+  const std::string reply = SendAndReceive(
+      caller,
+      "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n"
+      "POST /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab"
+      "GET /3 HTTP/1.1\r\nHost: h\r\n\r\n",
+      "/3");
   EXPECT_LT(reply.find("/1"), reply.find("/2"));
   EXPECT_LT(reply.find("/2"), reply.find("/3"));
   EXPECT_EQ(bodies_[1], "ab");
   EXPECT_FALSE(caller.ended);
 }
 
-TEST_F(caller_server_test, RejectsAndCloses) {
+TEST_F(caller_server_test, RejectsInvalidRequestsAndCloses) {
   struct row {
     std::string sent;
     std::string status;
@@ -106,39 +106,42 @@
            {start + "Content-Length: 1001\r\n\r\n", "413"},
        }) {
     raw_socket caller(raw_socket::Connect(server_.Address()));
-    const std::string reply = Ask(caller, item.sent, "never");
+    const std::string reply = SendAndReceive(caller, item.sent, "never");
     EXPECT_TRUE(reply.starts_with("HTTP/1.1 " + item.status)) << item.sent;
     EXPECT_NE(reply.find("Connection: close"), std::string::npos);
     EXPECT_TRUE(caller.ended) << item.sent;
   }
-  EXPECT_TRUE(targets_.empty()) << "nothing of it is a request";
+  EXPECT_TRUE(targets_.empty()) << "no input is a valid request";
 }
 
-TEST_F(caller_server_test, ASlowHeadIsToldSo) {
+TEST_F(caller_server_test, AnswersSlowHeadWith408) {
   raw_socket caller(raw_socket::Connect(server_.Address()));
-  EXPECT_TRUE(Ask(caller, "GET /a HT", "never").starts_with("HTTP/1.1 408"));
+  EXPECT_TRUE(
+      SendAndReceive(caller, "GET /a HT", "never").starts_with("HTTP/1.1 408"));
   EXPECT_TRUE(caller.ended);
 }
 
-TEST_F(caller_server_test, AnIdleConnectionClosesWithoutAWord) {
+TEST_F(caller_server_test, ClosesIdleConnectionWithoutResponse) {
   raw_socket caller(raw_socket::Connect(server_.Address()));
-  EXPECT_EQ(Ask(caller, "", "never"), "");
+  EXPECT_EQ(SendAndReceive(caller, "", "never"), "");
   EXPECT_TRUE(caller.ended);
 }
 
-TEST_F(caller_server_test, AskedToContinueItDoes) {
+TEST_F(caller_server_test, AnswersExpectContinue) {
   raw_socket caller(raw_socket::Connect(server_.Address()));
-  EXPECT_TRUE(Ask(caller,
-                  "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n"
-                  "Expect: 100-continue\r\n\r\n",
-                  "Continue")
-                  .starts_with("HTTP/1.1 100"));
-  EXPECT_NE(Ask(caller, "ab", "/a").find("HTTP/1.1 200"), std::string::npos);
+  EXPECT_TRUE(
+      SendAndReceive(caller,
+                     "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n"
+                     "Expect: 100-continue\r\n\r\n",
+                     "Continue")
+          .starts_with("HTTP/1.1 100"));
+  EXPECT_NE(SendAndReceive(caller, "ab", "/a").find("HTTP/1.1 200"),
+            std::string::npos);
 }
 
-// Symptom: an upstream works on for a caller that has left.
-// Cause: nobody watches the caller's connection while its answer is made.
-TEST_F(caller_server_test, TellsThatTheCallerLeft) {
+// The caller's connection must be monitored while its response is being
+// produced, or an upstream keeps working for a caller that has disconnected.
+TEST_F(caller_server_test, ReportsCallerDisconnect) {
   holds_ = true;
   {
     raw_socket caller(raw_socket::Connect(server_.Address()));
@@ -148,12 +151,12 @@
   EXPECT_TRUE(RunUntil(base_, [&] { return listener_.gone; }));
 }
 
-// Symptom: the last bytes of an answer are missing when a host is restarted.
-// Sequence: the head of an answer is sent; the server begins to drain; the
-// answer ends; in the same turn of the loop idle connections are closed. Cause:
-// the connection counted as idle with the answer's end still to be written,
+// Guards against losing the last bytes of a response when a host is restarted.
+// The head is sent, the server begins to drain, the response ends, and idle
+// connections are closed in the same iteration of the event loop. The
+// connection counted as idle with the end of the response still to be written,
 // since its head had not announced the close.
-TEST_F(caller_server_test, AnAnswerThatEndsWhileDrainingIsDeliveredWhole) {
+TEST_F(caller_server_test, DeliversCompleteResponseThatEndsWhileDraining) {
   holds_ = true;
   raw_socket caller(raw_socket::Connect(server_.Address()));
   caller.Send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -164,20 +167,19 @@
   held_->SetListener(nullptr);
   held_->Finish();
   server_.CloseIdle();
-  EXPECT_EQ(server_.connection_count(), 1U) << "its caller has not got it yet";
-  const std::string reply = Ask(caller, "", "never");
+  EXPECT_EQ(server_.connection_count(), 1U)
+      << "the caller has not received the response yet";
+  const std::string reply = SendAndReceive(caller, "", "never");
   EXPECT_TRUE(reply.ends_with("4\r\nlast\r\n0\r\n\r\n"));
   EXPECT_TRUE(caller.ended);
 }
 
-// Symptom: a caller takes half an answer for a whole one.
-// Symptom: a stream's caller gets an empty, closed connection, although the
-// daemon had read events for it.
-// Sequence: events and the break of the upstream's connection are read in one
-// turn of the loop; the events are written; the answer is aborted.
-// Cause: what was not yet in the kernel's hands was dropped with the
-// connection.
-TEST_F(caller_server_test, AnAbortedAnswerBringsWhatWasThere) {
+// Aborting a response must deliver the events already buffered, but no last
+// chunk. Events and the loss of the upstream's connection are read in one
+// iteration of the event loop, the events are written and the response is
+// aborted. Bytes not yet passed to the kernel were dropped with the connection,
+// so the caller got a closed connection without events.
+TEST_F(caller_server_test, AbortDeliversBufferedBody) {
   holds_ = true;
   raw_socket caller(raw_socket::Connect(server_.Address()));
   caller.Send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -186,13 +188,14 @@
   held_->SendBody("event");
   held_->SetListener(nullptr);
   held_->Abort();
-  const std::string reply = Ask(caller, "", "never");
+  const std::string reply = SendAndReceive(caller, "", "never");
   EXPECT_NE(reply.find("5\r\nevent\r\n"), std::string::npos);
   EXPECT_EQ(reply.find("0\r\n\r\n"), std::string::npos);
   EXPECT_TRUE(caller.ended);
 }
 
-TEST_F(caller_server_test, AnAbortedAnswerHasNoEnd) {
+// Guards against a caller taking a truncated response for a complete one.
+TEST_F(caller_server_test, AbortedResponseHasNoLastChunk) {
   holds_ = true;
   raw_socket caller(raw_socket::Connect(server_.Address()));
   caller.Send("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -209,19 +212,20 @@
   EXPECT_EQ(caller.received.find("0\r\n\r\n"), std::string::npos);
 }
 
-TEST_F(caller_server_test, ADrainingServerServesAndAnnouncesTheEnd) {
+TEST_F(caller_server_test, DrainingServerRespondsWithConnectionClose) {
   server_.BeginDrain();
   raw_socket caller(raw_socket::Connect(server_.Address()));
   const std::string reply =
-      Ask(caller, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n", "never");
+      SendAndReceive(caller, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n", "never");
   EXPECT_TRUE(reply.starts_with("HTTP/1.1 200"));
   EXPECT_NE(reply.find("Connection: close"), std::string::npos);
   EXPECT_TRUE(caller.ended);
 }
 
-// A daemon on a small host is killed: hundreds of callers send large bodies a
-// byte now and then, and all of it is held. Others notice nothing.
-TEST_F(caller_server_test, ManySlowSendersLeaveRoomForOthers) {
+// Hundreds of callers that send large bodies a few bytes at a time could
+// exhaust the memory of a small host, so that the daemon is killed. With the
+// memory limit they are refused, and other callers' requests still succeed.
+TEST_F(caller_server_test, SlowSendersLeaveMemoryForOtherRequests) {
   server_.SetLimits(
       {.max_body_size = 1 << 20, .request_timeout = std::chrono::seconds(5)});
   std::vector<std::unique_ptr<raw_socket>> slow;
@@ -235,7 +239,7 @@
         part);
   }
   RunUntil(base_, [&] { return server_.refused_count() >= 30; });
-  EXPECT_LT(account_.held(), 2 * kHeldLimit);
+  EXPECT_LT(account_.held(), 2 * kMemoryLimit);
   size_t refused = 0;
   RunUntil(base_, [&] {
     refused = 0;
@@ -248,7 +252,8 @@
   EXPECT_NE(slow.back()->received.find("Retry-After: 1"), std::string::npos);
   raw_socket sound(raw_socket::Connect(server_.Address()));
   EXPECT_NE(
-      Ask(sound,
+      SendAndReceive(
+          sound,
           "POST /sound HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab",
           "/sound")
           .find(" 200 "),
--- a/unittests/Http1/loopback.h
+++ b/unittests/Http1/loopback.h
@@ -1,5 +1,5 @@
 /// \file
-/// Plain sockets on loopback for the tests of HTTP.
+/// Raw loopback sockets for HTTP tests.
 #ifndef CUMINSWITCH_UNITTESTS_HTTP1_LOOPBACK_H_
 #define CUMINSWITCH_UNITTESTS_HTTP1_LOOPBACK_H_
 
@@ -17,7 +17,8 @@
 
 namespace cuminswitch {
 
-/// Runs the loop until \p is_done holds, at most some seconds.
+/// Runs the event loop until \p is_done holds; returns false after 5000 waits
+/// of a millisecond.
 inline bool RunUntil(event_base* base, const std::function<bool()>& is_done) {
   constexpr int kMaxRounds = 5000;
   for (int i = 0; i < kMaxRounds; ++i) {
@@ -31,7 +32,7 @@
   return false;
 }
 
-/// A socket that sends and reads raw bytes without waiting.
+/// A non-blocking socket that sends and receives raw bytes.
 class raw_socket {
  public:
   explicit raw_socket(int fd) : fd_(fd) {
@@ -52,7 +53,8 @@
   void Send(const std::string& data) {
     static_cast<void>(send(fd_, data.data(), data.size(), MSG_NOSIGNAL));
   }
-  /// Reads what is there into `received`, and notes the end.
+  /// Appends available bytes to `received`, and records the end of the
+  /// connection.
   void Poll() {
     char buffer[65536];
     ssize_t size = 0;
@@ -68,7 +70,7 @@
       fd_ = -1;
     }
   }
-  /// Ends the connection with a reset.
+  /// Closes the connection with a reset.
   void Reset() {
     const linger now{.l_onoff = 1, .l_linger = 0};
     setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
@@ -83,7 +85,7 @@
   int fd_;
 };
 
-/// Listens on a free port and hands out the connections that come.
+/// Listens on a free port and returns accepted connections.
 class raw_listener {
  public:
   raw_listener() : fd_(socket(AF_INET, SOCK_STREAM, 0)) {
@@ -104,7 +106,8 @@
     getsockname(fd_, reinterpret_cast<sockaddr*>(&bound), &size);
     return {.address = "127.0.0.1", .port = ntohs(bound.sin_port)};
   }
-  /// Runs the loop until a connection comes; null when none does.
+  /// Runs the event loop until a connection is accepted; null after the
+  /// time-out of `RunUntil`.
   std::unique_ptr<raw_socket> Accept(event_base* base) {
     std::unique_ptr<raw_socket> accepted;
     RunUntil(base, [&] {
--- a/unittests/Http1/message_reader_test.cc
+++ b/unittests/Http1/message_reader_test.cc
@@ -1,4 +1,4 @@
-// What is read as a message, and what is not.
+// Which input the message reader accepts and which it rejects.
 #include "cuminswitch/Http1/message_reader.h"
 
 #include <gtest/gtest.h>
@@ -49,11 +49,11 @@
   return Read(message_reader::kind::kRequest, text);
 }
 
-reading ReadAnswer(const std::string& text) {
+reading ReadResponse(const std::string& text) {
   return Read(message_reader::kind::kResponse, text);
 }
 
-TEST(message_reader_test, ReadsARequestWithALength) {
+TEST(message_reader_test, ReadsRequestWithContentLength) {
   const reading done = ReadRequest(
       "POST /a/b?c=d HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET");
   EXPECT_EQ(done.result, read_result::kMessageDone);
@@ -64,7 +64,7 @@
   EXPECT_TRUE(done.head->keep_alive);
 }
 
-TEST(message_reader_test, ReadsChunksInPiecesOfAnySize) {
+TEST(message_reader_test, ReadsChunkedBodyAtAnyFragmentation) {
   const std::string text =
       "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
       "3\r\nabc\r\nA\r\n0123456789\r\n0\r\n\r\n";
@@ -75,11 +75,10 @@
   }
 }
 
-// Symptom: a request hidden in another one's body is run.
-// Sequence: a caller delimits a body in two ways; the daemon and the upstream
-// each believe another one.
-// Cause: a lenient reader takes what can be read in two ways.
-TEST(message_reader_test, RefusesWhatCanBeReadInTwoWays) {
+// Guards against request smuggling: a caller delimits a body in two ways, the
+// daemon and the upstream each use a different one, and a request hidden in the
+// body is run.
+TEST(message_reader_test, RejectsAmbiguousHeads) {
   const std::string start = "POST /a HTTP/1.1\r\nHost: h\r\n";
   for (const std::string fields : {
            "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
@@ -108,7 +107,7 @@
   }
 }
 
-TEST(message_reader_test, RefusesControlCharactersInAValue) {
+TEST(message_reader_test, RejectsControlCharactersInFieldValues) {
   for (const char control : {'\0', '\1', '\x7f'}) {
     std::string text = "GET /a HTTP/1.1\r\nHost: h\r\nName: a?b\r\n\r\n";
     text[text.find('?')] = control;
@@ -116,7 +115,7 @@
   }
 }
 
-TEST(message_reader_test, RefusesBadFirstLines) {
+TEST(message_reader_test, RejectsMalformedRequestLines) {
   for (const std::string line :
        {"GET /a", "GET /a HTTP/2.0", "GET a HTTP/1.1", "GET  /a HTTP/1.1",
         "G@T /a HTTP/1.1", "GET /a b HTTP/1.1", "\x16\x03\x01 x HTTP/1.1"}) {
@@ -129,12 +128,12 @@
       << "a request without Host";
 }
 
-TEST(message_reader_test, RefusesABareLineFeedAtOnce) {
+TEST(message_reader_test, RejectsBareLineFeedBeforeTheHeadEnds) {
   EXPECT_EQ(ReadRequest("GET /a HTTP/1.1\nHost: h\n").result,
             read_result::kMalformed);
 }
 
-TEST(message_reader_test, RefusesBadChunkSizes) {
+TEST(message_reader_test, RejectsMalformedChunkSizes) {
   const std::string start =
       "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (const std::string size : {"12345678901234567\r\n", "+3\r\nabc\r\n",
@@ -144,7 +143,7 @@
   }
 }
 
-TEST(message_reader_test, KeepsLimits) {
+TEST(message_reader_test, EnforcesSizeLimits) {
   EXPECT_EQ(ReadRequest("GET /" + std::string(500, 'a')).result,
             read_result::kHeadTooLarge);
   EXPECT_EQ(ReadRequest("POST /a HTTP/1.1\r\nHost: h\r\n"
@@ -158,7 +157,7 @@
             read_result::kBodyTooLarge);
 }
 
-TEST(message_reader_test, AskingForAnotherProtocolChangesNothing) {
+TEST(message_reader_test, IgnoresUpgradeRequest) {
   const reading done = ReadRequest(
       "POST /a HTTP/1.1\r\nHost: h\r\nConnection: upgrade\r\n"
       "Upgrade: websocket\r\nContent-Length: 3\r\n\r\nabc");
@@ -166,8 +165,8 @@
   EXPECT_EQ(done.body, "abc");
 }
 
-TEST(message_reader_test, SkipsInterimAnswers) {
-  const reading done = ReadAnswer(
+TEST(message_reader_test, SkipsInterimResponses) {
+  const reading done = ReadResponse(
       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n"
       "Content-Length: 2\r\n\r\nok");
   EXPECT_EQ(done.result, read_result::kMessageDone);
@@ -175,7 +174,7 @@
   EXPECT_EQ(done.body, "ok");
 }
 
-TEST(message_reader_test, AnAnswerWithoutLengthEndsWithItsConnection) {
+TEST(message_reader_test, ResponseWithoutLengthEndsWithItsConnection) {
   recording_sink sink;
   message_reader reader({.reads = message_reader::kind::kResponse}, sink);
   size_t consumed = 0;
@@ -186,7 +185,7 @@
   EXPECT_EQ(sink.body, "abc");
 }
 
-TEST(message_reader_test, ACutAnswerIsNotWhole) {
+TEST(message_reader_test, TruncatedResponseIsNotComplete) {
   for (const std::string text :
        {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
@@ -199,9 +198,9 @@
   }
 }
 
-// Symptom: the daemon crashes or loops on bytes that a faulty upstream sends.
-// Cause: a reader that trusts what it was sent. Seeded, so that it repeats.
-TEST(message_reader_test, AnyBytesEndInAResult) {
+// The reader must neither crash nor loop on arbitrary bytes from a faulty
+// upstream. The seed is fixed, so failures are reproducible.
+TEST(message_reader_test, HandlesRandomlyCorruptedResponses) {
   const std::string good =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
       "X-Name: value\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
--- a/unittests/Http1/upstream_pool_test.cc
+++ b/unittests/Http1/upstream_pool_test.cc
@@ -1,4 +1,4 @@
-// Calls to upstreams that answer well, badly, or not at all.
+// Calls to upstreams that respond correctly, incorrectly, or not at all.
 #include "cuminswitch/Http1/upstream_pool.h"
 
 #include <event2/event.h>
@@ -38,7 +38,7 @@
                          .max_idle = max_idle},
                         handler_);
   }
-  /// Takes the connection that the call opens, and its request.
+  /// Accepts the connection that the call opens, and receives its request.
   void Accept() {
     upstream_ = listener_.Accept(base_);
     ASSERT_NE(upstream_, nullptr);
@@ -65,47 +65,49 @@
   std::unique_ptr<upstream_call> call_;
 };
 
-constexpr char kAnswer[] =
+constexpr char kResponse[] =
     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=5\r\n\r\nok";
 
-TEST_F(upstream_pool_test, KeepsAConnectionForTheAnnouncedTime) {
+TEST_F(upstream_pool_test, ReusesConnectionThatAnnouncesKeepAlive) {
   Begin();
   Accept();
-  upstream_->Send(kAnswer);
+  upstream_->Send(kResponse);
   EXPECT_EQ(AwaitEnd(), upstream_call_result::kComplete);
   EXPECT_EQ(handler_.body, "ok");
   Begin();
-  EXPECT_TRUE(call_->IsOnKeptConnection());
+  EXPECT_TRUE(call_->IsOnReusedConnection());
   AwaitRequest();
-  upstream_->Send(kAnswer);
+  upstream_->Send(kResponse);
   EXPECT_EQ(AwaitEnd(), upstream_call_result::kComplete);
   EXPECT_EQ(pool_.opened_count(), 1U);
 }
 
-TEST_F(upstream_pool_test, ARequestThatRunsOnceWantsAConnectionUsedJustNow) {
+// A retry after a failure sets `max_idle` to zero, so that it opens a new
+// connection.
+TEST_F(upstream_pool_test, DoesNotReuseConnectionIdleForMaxIdle) {
   Begin();
   Accept();
-  upstream_->Send(kAnswer);
+  upstream_->Send(kResponse);
   AwaitEnd();
   Begin(std::chrono::milliseconds(0));
-  EXPECT_FALSE(call_->IsOnKeptConnection());
+  EXPECT_FALSE(call_->IsOnReusedConnection());
 }
 
-TEST_F(upstream_pool_test, KeepsNoMoreIdleConnectionsThanItMay) {
+TEST_F(upstream_pool_test, EnforcesIdleLimit) {
   pool_.SetIdleLimit([](const endpoint& /*to*/) { return 0; });
   pool_.TrimIdle();
   Begin();
   Accept();
-  upstream_->Send(kAnswer);
+  upstream_->Send(kResponse);
   AwaitEnd();
   Begin();
-  EXPECT_FALSE(call_->IsOnKeptConnection());
+  EXPECT_FALSE(call_->IsOnReusedConnection());
 }
 
-TEST_F(upstream_pool_test, ALowerLimitClosesIdleConnections) {
+TEST_F(upstream_pool_test, LoweringTheLimitClosesIdleConnections) {
   Begin();
   Accept();
-  upstream_->Send(kAnswer);
+  upstream_->Send(kResponse);
   AwaitEnd();
   pool_.SetIdleLimit([](const endpoint& /*to*/) { return 0; });
   pool_.TrimIdle();
@@ -115,38 +117,36 @@
   }));
 }
 
-// Symptom: a caller gets another request's answer.
-// Sequence: a faulty upstream sends a second answer behind the first; the next
-// request goes over the same connection.
-// Cause: bytes that answer no request were left for the next one.
-TEST_F(upstream_pool_test, ExtraBytesEndTheConnection) {
+// Unsolicited bytes must not be left for the next request, or a caller gets
+// another request's response: a faulty upstream sends a second response after
+// the first, and the next request is sent on the same connection.
+TEST_F(upstream_pool_test, DoesNotReuseConnectionWithExtraBytes) {
   Begin();
   Accept();
-  upstream_->Send(std::string(kAnswer) + kAnswer);
+  upstream_->Send(std::string(kResponse) + kResponse);
   EXPECT_EQ(AwaitEnd(), upstream_call_result::kComplete);
   EXPECT_EQ(handler_.body, "ok");
   Begin();
-  EXPECT_FALSE(call_->IsOnKeptConnection());
+  EXPECT_FALSE(call_->IsOnReusedConnection());
 }
 
-TEST_F(upstream_pool_test, LateExtraBytesEndAnIdleConnection) {
+TEST_F(upstream_pool_test, UnsolicitedBytesCloseIdleConnection) {
   Begin();
   Accept();
-  upstream_->Send(kAnswer);
+  upstream_->Send(kResponse);
   AwaitEnd();
-  upstream_->Send(kAnswer);
+  upstream_->Send(kResponse);
   ASSERT_TRUE(RunUntil(base_, [&] {
     upstream_->Poll();
     return upstream_->ended;
   }));
   Begin();
-  EXPECT_FALSE(call_->IsOnKeptConnection());
+  EXPECT_FALSE(call_->IsOnReusedConnection());
 }
 
-// Symptom: a caller gets a part of an answer as a whole one.
-// Sequence: an answer without length is reset on its way.
-// Cause: every end of the connection was taken for the end of the answer.
-TEST_F(upstream_pool_test, AResetIsNoEndOfAnAnswerWithoutLength) {
+// Only an orderly close ends a response without a length. If a reset counted as
+// its end too, a caller would get a truncated response as a complete one.
+TEST_F(upstream_pool_test, ResetDoesNotCompleteResponseWithoutLength) {
   Begin();
   Accept();
   upstream_->Send("HTTP/1.1 200 OK\r\n\r\nabc");
@@ -160,7 +160,7 @@
   EXPECT_EQ(AwaitEnd(), upstream_call_result::kComplete);
 }
 
-TEST_F(upstream_pool_test, ToldApartHowACallEnds) {
+TEST_F(upstream_pool_test, DistinguishesCallResults) {
   Begin();
   Accept();
   upstream_->Send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc");
@@ -175,18 +175,19 @@
   EXPECT_EQ(AwaitEnd(), upstream_call_result::kNotConnected);
 }
 
-TEST_F(upstream_pool_test, AnAnnouncedCloseIsHeeded) {
+TEST_F(upstream_pool_test, DoesNotReuseConnectionAfterAnnouncedClose) {
   Begin();
   Accept();
   upstream_->Send(
       "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok");
   EXPECT_EQ(AwaitEnd(), upstream_call_result::kComplete);
   Begin();
-  EXPECT_FALSE(call_->IsOnKeptConnection());
+  EXPECT_FALSE(call_->IsOnReusedConnection());
 }
 
-// Symptom: an upstream works on for a caller that has left.
-TEST_F(upstream_pool_test, ACancelledCallClosesItsConnection) {
+// An open connection would let the upstream keep working for a caller that has
+// disconnected.
+TEST_F(upstream_pool_test, CancelledCallClosesItsConnection) {
   Begin();
   Accept();
   call_.reset();
@@ -197,12 +198,10 @@
   EXPECT_FALSE(handler_.end.has_value());
 }
 
-// Symptom: an upstream runs a request almost a second after its caller left.
-// Sequence: a request is sent; the link holds its bytes; the caller leaves and
-// the call is cancelled; the link carries the bytes after all.
-// Cause: the connection was closed in good order, so that what was not yet
-// delivered still was.
-TEST_F(upstream_pool_test, ACancelledCallResetsItsConnection) {
+// An orderly close still delivers the bytes of a cancelled request that a slow
+// link holds, so an upstream ran a request almost a second after its caller had
+// disconnected.
+TEST_F(upstream_pool_test, CancelledCallResetsItsConnection) {
   Begin();
   Accept();
   call_.reset();
