--- a/include/cuminswitch/Net/bind_error.h
+++ b/include/cuminswitch/Net/bind_error.h
@@ -7,7 +7,7 @@
 
 namespace cuminswitch {
 
-/// Thrown when a listening socket cannot be had; the message names the
+/// Thrown when a listening socket cannot be opened; the message contains the
 /// address and the reason.
 class bind_error : public std::runtime_error {
  public:
--- a/include/cuminswitch/Net/blocking_http.h
+++ b/include/cuminswitch/Net/blocking_http.h
@@ -1,5 +1,5 @@
 /// \file
-/// One HTTP call that is waited for; for command-line tools.
+/// Synchronous HTTP calls for command-line tools.
 #ifndef CUMINSWITCH_NET_BLOCKING_HTTP_H_
 #define CUMINSWITCH_NET_BLOCKING_HTTP_H_
 
@@ -15,7 +15,7 @@
   std::string body;
 };
 
-/// Makes the call on a loop of its own and returns when it has ended.
+/// Makes the call on an event loop of its own and blocks until it has ended.
 blocking_response FetchBlocking(const http_call_options& opts);
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Net/counted_stream.h
+++ b/include/cuminswitch/Net/counted_stream.h
@@ -1,5 +1,5 @@
 /// \file
-/// Keeps an account of a stream's buffers.
+/// Counts the bytes in a stream's buffers.
 #ifndef CUMINSWITCH_NET_COUNTED_STREAM_H_
 #define CUMINSWITCH_NET_COUNTED_STREAM_H_
 
@@ -11,8 +11,8 @@
 
 namespace cuminswitch {
 
-/// Counts what the buffers of one stream hold for as long as it lives; it has
-/// to end before the stream.
+/// Adds the bytes in the input and output buffers of one stream to an account
+/// during its lifetime. It must be destroyed before the stream.
 class counted_stream {
  public:
   counted_stream(bufferevent* stream, byte_account& account);
--- a/include/cuminswitch/Net/http_call.h
+++ b/include/cuminswitch/Net/http_call.h
@@ -1,5 +1,5 @@
 /// \file
-/// One HTTP call under way.
+/// One HTTP call in progress.
 #ifndef CUMINSWITCH_NET_HTTP_CALL_H_
 #define CUMINSWITCH_NET_HTTP_CALL_H_
 
@@ -10,7 +10,7 @@
 
 namespace cuminswitch {
 
-/// Destroying it cancels the call.
+/// A call of `http_client`; destroying it cancels the call.
 class http_call {
  public:
   http_call(http_client& client,
@@ -20,7 +20,7 @@
   http_call& operator=(const http_call&) = delete;
   ~http_call();
 
-  /// Stops and resumes reading, to bound what is buffered.
+  /// Pauses and resumes reading, to bound the bytes that are buffered.
   void PauseReading();
   void ResumeReading();
 
@@ -29,7 +29,7 @@
   void OnHeaderEvent(evhttp_request* request);
   void OnChunkEvent(evhttp_request* request);
   void OnConnectTimer();
-  void Finish(http_result end);
+  void Finish(http_result result);
   bool IsConnected() const;
 
   http_client& client_;
--- a/include/cuminswitch/Net/http_client.h
+++ b/include/cuminswitch/Net/http_client.h
@@ -1,6 +1,6 @@
 /// \file
-/// HTTP calls with evhttp: streamed answers, kept connections, and an end
-/// that says whether the request can have reached the other side.
+/// HTTP client based on evhttp, with streamed responses, pooled connections,
+/// and a result that says whether the request may have reached the server.
 #ifndef CUMINSWITCH_NET_HTTP_CLIENT_H_
 #define CUMINSWITCH_NET_HTTP_CLIENT_H_
 
@@ -32,32 +32,32 @@
   http_headers headers;
   std::string body;
   std::chrono::milliseconds connect_timeout{1000};
-  /// Longest silence of the other side.
+  /// Longest time without progress on the connection.
   std::chrono::milliseconds idle_timeout{60'000};
-  /// Use a connection of its own, closed afterwards.
+  /// Use a new connection and close it afterwards.
   bool fresh_connection = false;
 };
 
 /// How a call ended.
 enum class http_result : uint8_t {
   kComplete,
-  /// No connection came about: not one byte was sent.
+  /// The connection could not be established: no byte of the request was sent.
   kNotConnected,
-  /// The connection broke or fell silent after bytes may have been sent.
+  /// The connection was lost or timed out after bytes may have been sent.
   kBroken,
 };
 
-/// Takes a call's events, in the loop's thread. A handler may cancel the call
-/// or destroy itself in `OnEnd` only.
+/// Receives a call's events, on the event loop's thread. A handler may cancel
+/// the call or destroy itself in `OnEnd` only.
 class http_call_handler {
  public:
   virtual ~http_call_handler() = default;
   virtual void OnHeaders(const http_response_head& head) = 0;
   virtual void OnData(std::string_view data) = 0;
-  virtual void OnEnd(http_result end) = 0;
+  virtual void OnEnd(http_result result) = 0;
 };
 
-/// Makes calls on one event loop and keeps idle connections.
+/// Makes calls on one event loop and pools idle connections.
 class http_client {
  public:
   explicit http_client(event_base* base);
@@ -74,11 +74,14 @@
   friend class http_call;
 
   evhttp_connection* Acquire(const http_call_options& opts);
-  void GiveBack(const endpoint& to, evhttp_connection* connection, bool keep);
+  void ReturnToPool(const endpoint& to,
+                    evhttp_connection* connection,
+                    bool keep);
 
   event_base* base_;
   std::map<endpoint, std::vector<evhttp_connection*>> idle_;
-  /// Set when the client dies, so that late releases touch nothing.
+  /// False once the client is destroyed, so that deferred callbacks do not use
+  /// it.
   std::shared_ptr<bool> alive_;
 };
 
--- a/include/cuminswitch/Net/http_exchange.h
+++ b/include/cuminswitch/Net/http_exchange.h
@@ -1,5 +1,5 @@
 /// \file
-/// One request to an HTTP server and its reply.
+/// One request to an HTTP server and its response.
 #ifndef CUMINSWITCH_NET_HTTP_EXCHANGE_H_
 #define CUMINSWITCH_NET_HTTP_EXCHANGE_H_
 
@@ -15,50 +15,52 @@
 
 namespace cuminswitch {
 
-/// Outlives the connection: once the caller is gone, replies go nowhere.
+/// Holds one request and sends its response. May outlive the connection: after
+/// the caller has disconnected, responses are discarded.
 class http_exchange : public std::enable_shared_from_this<http_exchange> {
  public:
   explicit http_exchange(evhtp_request* request) : request_(request) {}
 
-  /// The request.
+  // The request.
   std::string_view Method() const { return method_; }
   std::string_view Path() const { return path_; }
   std::string_view Query() const { return query_; }
   std::string_view Body() const { return body_; }
-  /// Returns a header's value, or an empty text.
+  /// Returns a header field's value, or an empty string.
   std::string Header(std::string_view name) const;
-  /// Returns a query parameter's value, decoded, or an empty text.
+  /// Returns a query parameter's decoded value, or an empty string.
   std::string Parameter(std::string_view name) const;
 
-  /// Sends the whole reply.
+  /// Sends a complete response.
   void Reply(uint32_t status,
              std::string_view content_type,
              std::string_view body,
              const http_headers& headers = {});
-  /// Sends the reply in chunks.
+  /// Begins a response that is sent in chunks.
   void BeginStream(uint32_t status,
                    std::string_view content_type,
                    const http_headers& headers = {});
   void SendChunk(std::string_view data);
   void EndStream();
-  /// Closes the connection without a proper end, so that the caller sees that
-  /// the reply is not whole. It happens from the loop.
+  /// Closes the connection without ending the response, so that the caller sees
+  /// that it is incomplete. The event loop closes it after this call.
   void Abort();
 
   bool HasBegun() const { return has_begun_; }
   bool IsClosed() const { return request_ == nullptr; }
-  /// Bytes that the caller has not taken yet.
+  /// Bytes buffered and not yet written to the caller's socket.
   size_t PendingBytes() const;
-  /// Called when the caller is gone before the reply's end.
+  /// Sets the function that is called when the connection closes before the
+  /// response has ended.
   void SetOnClosed(std::function<void()> callback);
-  /// Called when all pending bytes were taken.
+  /// Sets the function that is called when all pending bytes were written.
   void SetOnDrained(std::function<void()> callback);
 
  private:
   friend class http_server;
 
   void AddHeaders(std::string_view content_type, const http_headers& headers);
-  /// Reads the request out of the library's structures.
+  /// Copies the request from libevhtp's structures.
   void Load();
   void OnRequestFinished();
 
@@ -69,7 +71,8 @@
   std::string body_;
   size_t header_bytes_ = 0;
   size_t body_bytes_ = 0;
-  /// A status that replaces the handler, for a request over a limit.
+  /// Status to respond with, without calling the handler, if the request
+  /// exceeds a limit; otherwise 0.
   uint32_t rejected_ = 0;
   bool has_begun_ = false;
   bool has_ended_ = false;
--- a/include/cuminswitch/Net/http_header.h
+++ b/include/cuminswitch/Net/http_header.h
@@ -17,13 +17,13 @@
 
 using http_headers = std::vector<http_header>;
 
-/// The status and header fields of an answer.
+/// The status and header fields of a response.
 struct http_response_head {
   uint32_t status = 0;
   http_headers headers;
 
-  /// Returns the value of the field \p name, in any case of its letters, or an
-  /// empty text.
+  /// Returns the value of the field \p name, compared without case, or an empty
+  /// string.
   std::string_view Find(std::string_view name) const;
 };
 
--- a/include/cuminswitch/Net/http_server.h
+++ b/include/cuminswitch/Net/http_server.h
@@ -1,5 +1,5 @@
 /// \file
-/// An HTTP server on one event loop, with libevhtp.
+/// HTTP server on one event loop, based on libevhtp.
 #ifndef CUMINSWITCH_NET_HTTP_SERVER_H_
 #define CUMINSWITCH_NET_HTTP_SERVER_H_
 
@@ -19,28 +19,31 @@
 
 class http_exchange;
 
-/// Takes requests that have been read whole.
+/// Receives complete requests.
 class http_request_handler {
  public:
   virtual ~http_request_handler() = default;
   virtual void OnRequest(std::shared_ptr<http_exchange> exchange) = 0;
 };
 
-/// Listens, reads requests within limits, and hands them on.
+/// Accepts connections, reads requests within limits, and passes them to the
+/// handler.
 class http_server {
  public:
   struct options {
-    /// Port 0 takes a free one.
+    /// Port 0 selects a free port.
     endpoint listen;
+    /// In bytes.
     size_t max_body_size = 4UL << 20;
+    /// Of all header fields together, in bytes.
     size_t max_header_size = 16UL << 10;
-    /// Longest time to wait for a caller's bytes.
+    /// Longest time without input while a request is awaited or read.
     std::chrono::milliseconds read_timeout{30'000};
-    /// Longest time for a caller to take bytes.
+    /// Longest time without progress while a response is written.
     std::chrono::milliseconds write_timeout{30'000};
   };
 
-  /// Throws `bind_error` when the address cannot be had.
+  /// Throws `bind_error` when the address cannot be bound.
   http_server(event_base* base,
               const options& opts,
               http_request_handler& handler);
@@ -48,15 +51,16 @@
   http_server& operator=(const http_server&) = delete;
   ~http_server();
 
-  /// Where it listens.
+  /// Returns the address that the server listens on.
   endpoint Address() const;
-  /// Stops to accept connections; those open go on.
+  /// Stops accepting connections; open ones continue.
   void StopListening();
 
  private:
   struct hooks;
 
-  /// Bounds the wait for the peer's bytes only while \p reading a request.
+  /// Sets the write time-out, and the read time-out only if a request is being
+  /// read (\p reading).
   void SetTimeouts(evhtp_connection* connection, bool reading);
   std::shared_ptr<http_exchange>& ExchangeOf(evhtp_request* request);
 
--- a/include/cuminswitch/Net/loop_timer.h
+++ b/include/cuminswitch/Net/loop_timer.h
@@ -11,7 +11,8 @@
 
 namespace cuminswitch {
 
-/// Calls back once after each `Start`. Destroying it cancels it.
+/// One-shot timer: calls back once after each `Start`. Destroying it cancels
+/// it.
 class loop_timer {
  public:
   loop_timer(event_base* base, std::function<void()> on_fire);
@@ -28,8 +29,8 @@
   event* event_ = nullptr;
 };
 
-/// Calls \p action from the loop, after the present callback has returned.
-/// Needed where a library must not be re-entered from its own callback.
+/// Calls \p action from the event loop after the current callback has returned.
+/// Used where a library must not be re-entered from its own callback.
 void CallLater(event_base* base, std::function<void()> action);
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Net/peer_transport.h
+++ b/include/cuminswitch/Net/peer_transport.h
@@ -1,5 +1,5 @@
 /// \file
-/// Frames over TCP between daemons.
+/// Exchange of length-prefixed frames between daemons over TCP.
 #ifndef CUMINSWITCH_NET_PEER_TRANSPORT_H_
 #define CUMINSWITCH_NET_PEER_TRANSPORT_H_
 
@@ -17,30 +17,31 @@
 
 namespace cuminswitch {
 
-/// Takes frames, in the loop's thread.
+/// Receives frames, on the event loop's thread.
 class peer_frame_handler {
  public:
   virtual ~peer_frame_handler() = default;
-  /// Returns false when the frame is not acceptable; its connection closes.
+  /// Returns false to reject the frame, which closes its connection.
   virtual bool OnFrame(std::span<const uint8_t> frame) = 0;
 };
 
-/// Sends each frame over a kept connection to its receiver, and receives from
-/// anybody. A frame may be lost; whoever needs an answer asks again.
+/// Sends frames over one persistent connection per receiver, and accepts
+/// connections from any sender. Frames may be lost; a sender that needs a reply
+/// must repeat its request.
 class peer_transport {
  public:
   struct options {
-    /// Port 0 takes a free one.
+    /// Port 0 selects a free port.
     endpoint listen;
-    /// A longer frame closes its connection.
+    /// In bytes; receiving a longer frame closes the connection.
     size_t max_frame_size = 64UL << 20;
-    /// More unsent bytes than this to one receiver are dropped.
+    /// Frames to a receiver with more unsent bytes than this are dropped.
     size_t max_pending = 8UL << 20;
-    /// Connections without traffic for this long close.
+    /// Connections without traffic for this long are closed.
     std::chrono::seconds idle_timeout{30};
   };
 
-  /// Throws `bind_error`.
+  /// Throws `bind_error` when the address cannot be bound.
   peer_transport(event_base* base,
                  const options& opts,
                  peer_frame_handler& handler);
--- a/include/cuminswitch/Net/socket_address.h
+++ b/include/cuminswitch/Net/socket_address.h
@@ -1,5 +1,5 @@
 /// \file
-/// The system's form of an endpoint.
+/// Conversions between endpoints and socket addresses.
 #ifndef CUMINSWITCH_NET_SOCKET_ADDRESS_H_
 #define CUMINSWITCH_NET_SOCKET_ADDRESS_H_
 
@@ -20,7 +20,8 @@
   return address;
 }
 
-/// Returns the address without its port; empty where it is of another family.
+/// Returns an IPv4 address in text form, without its port; empty for other
+/// address families.
 inline std::string NumericAddress(const sockaddr& value) {
   if (value.sa_family != AF_INET) {
     return {};
--- a/lib/Net/blocking_http.cc
+++ b/lib/Net/blocking_http.cc
@@ -13,17 +13,17 @@
   void operator()(event_base* base) const { event_base_free(base); }
 };
 
-/// Gathers one answer and ends the loop.
-class gathering_handler : public http_call_handler {
+/// Collects one response and stops the event loop at its end.
+class buffering_handler : public http_call_handler {
  public:
-  explicit gathering_handler(event_base* base) : base_(base) {}
+  explicit buffering_handler(event_base* base) : base_(base) {}
 
   void OnHeaders(const http_response_head& head) override {
     response.head = head;
   }
   void OnData(std::string_view data) override { response.body += data; }
-  void OnEnd(http_result end) override {
-    response.end = end;
+  void OnEnd(http_result result) override {
+    response.end = result;
     event_base_loopbreak(base_);
   }
 
@@ -37,7 +37,7 @@
 
 blocking_response FetchBlocking(const http_call_options& opts) {
   const std::unique_ptr<event_base, base_deleter> base(event_base_new());
-  gathering_handler handler(base.get());
+  buffering_handler handler(base.get());
   {
     http_client client(base.get());
     http_call_options own_connection = opts;
@@ -45,7 +45,7 @@
     const std::unique_ptr<http_call> call =
         client.Start(own_connection, handler);
     event_base_dispatch(base.get());
-    // Lets the loop free the connection that the call gave back.
+    // Lets the event loop free the connection that the call returned.
     event_base_loop(base.get(), EVLOOP_NONBLOCK);
   }
   return std::move(handler.response);
--- a/lib/Net/http_call.cc
+++ b/lib/Net/http_call.cc
@@ -51,7 +51,7 @@
   }
   ended_ = true;
   evhttp_cancel_request(request_);
-  client_.GiveBack(to_, connection_, false);
+  client_.ReturnToPool(to_, connection_, false);
 }
 
 void http_call::Send(const http_call_options& opts) {
@@ -73,9 +73,9 @@
   const auto on_chunk = [](evhttp_request* request, void* raw) {
     static_cast<http_call*>(raw)->OnChunkEvent(request);
   };
-  // Called only for a request that is on a connection; a failure to connect
-  // ends in `on_done` without it. That difference is what makes "not run"
-  // true.
+  // evhttp calls this only for a request on an established connection; a
+  // failure to connect calls only `on_done`. `kNotConnected` and the outcome
+  // "not run" rely on this difference.
   const auto on_error = [](evhttp_request_error /*error*/, void* raw) {
     static_cast<http_call*>(raw)->failed_after_connect_ = true;
   };
@@ -136,23 +136,23 @@
   if (ended_ || IsConnected()) {
     return;
   }
-  // evhttp writes only once it is connected, so nothing was sent.
+  // evhttp writes only after it has connected, so nothing was sent.
   evhttp_cancel_request(std::exchange(request_, nullptr));
   ended_ = true;
-  client_.GiveBack(to_, connection_, false);
+  client_.ReturnToPool(to_, connection_, false);
   handler_.OnEnd(http_result::kNotConnected);
 }
 
-void http_call::Finish(http_result end) {
+void http_call::Finish(http_result result) {
   if (ended_) {
     return;
   }
   ended_ = true;
   connect_timer_.Cancel();
   const bool keep =
-      end == http_result::kComplete && !fresh_ && !close_announced_;
-  client_.GiveBack(to_, connection_, keep);
-  handler_.OnEnd(end);
+      result == http_result::kComplete && !fresh_ && !close_announced_;
+  client_.ReturnToPool(to_, connection_, keep);
+  handler_.OnEnd(result);
 }
 
 void http_call::PauseReading() {
--- a/lib/Net/http_client.cc
+++ b/lib/Net/http_client.cc
@@ -7,7 +7,7 @@
 
 namespace cuminswitch {
 
-/// Idle connections kept per address.
+/// Largest number of idle connections pooled per address.
 static constexpr size_t kMaxIdlePerAddress = 64;
 
 http_client::http_client(event_base* base)
@@ -40,11 +40,11 @@
                                     opts.to.port);
 }
 
-void http_client::GiveBack(const endpoint& to,
-                           evhttp_connection* connection,
-                           bool keep) {
-  // evhttp still uses the connection after its callbacks return, so it is
-  // freed or used again only from the loop.
+void http_client::ReturnToPool(const endpoint& to,
+                               evhttp_connection* connection,
+                               bool keep) {
+  // evhttp still uses the connection after its callbacks return, so it is freed
+  // or reused only from the event loop.
   CallLater(base_, [this, alive = alive_, to, connection, keep] {
     if (*alive && keep && idle_[to].size() < kMaxIdlePerAddress) {
       idle_[to].push_back(connection);
--- a/lib/Net/http_exchange.cc
+++ b/lib/Net/http_exchange.cc
@@ -135,7 +135,7 @@
     return;
   }
   has_ended_ = true;
-  // libevhtp still parses on this connection when its callback returns.
+  // libevhtp continues parsing on this connection after its callback returns.
   CallLater(request_->conn->evbase, [self = shared_from_this()] {
     if (self->request_ != nullptr) {
       evhtp_connection_free(self->request_->conn);
--- a/lib/Net/http_server.cc
+++ b/lib/Net/http_server.cc
@@ -19,11 +19,12 @@
 namespace cuminswitch {
 
 static constexpr int kBacklog = 1024;
-/// A request over a limit is read on and thrown away up to this multiple, so
-/// that its sender gets an answer and not a reset; then it is cut off.
+/// Multiple of a size limit up to which an oversized request is read and
+/// discarded, so that its sender gets a response instead of a reset; beyond it
+/// the connection is aborted.
 static constexpr size_t kDiscardFactor = 8;
 
-/// The library's callbacks.
+/// Callbacks of libevhtp.
 struct http_server::hooks {
   static evhtp_res OnHeader(evhtp_request_t* request,
                             evhtp_header_t* header,
@@ -80,7 +81,7 @@
 
   static evhtp_res OnAccepted(evhtp_connection_t* connection, void* raw) {
     const auto set = [&](evhtp_hook_type type, auto callback) {
-      // The library takes hooks of every signature as one untyped pointer.
+      // libevhtp takes hooks of all signatures as one untyped pointer.
       evhtp_connection_set_hook(
           connection, type,
           reinterpret_cast<evhtp_hook>(reinterpret_cast<void*>(callback)), raw);
@@ -96,7 +97,8 @@
     auto* self = static_cast<http_server*>(raw);
     const std::shared_ptr<http_exchange> exchange = self->ExchangeOf(request);
     exchange->Load();
-    // From here on the caller is silent because it waits for its answer.
+    // The caller sends nothing while it waits for its response, so the read
+    // time-out must not apply.
     self->SetTimeouts(request->conn, false);
     if (exchange->rejected_ != 0) {
       exchange->Reply(exchange->rejected_, "application/json",
@@ -131,7 +133,7 @@
 
 http_server::~http_server() {
   StopListening();
-  // Freed by the library only with their connections; none of them may call
+  // libevhtp frees requests only with their connections; none of them may call
   // back into this object.
   while (!exchanges_.empty()) {
     const auto first = exchanges_.begin();
--- a/lib/Net/loop_timer.cc
+++ b/lib/Net/loop_timer.cc
@@ -12,7 +12,7 @@
 loop_timer::loop_timer(event_base* base, std::function<void()> on_fire)
     : on_fire_(std::move(on_fire)) {
   const auto fire = [](evutil_socket_t /*fd*/, short /*what*/, void* self) {
-    // A copy, since the callback may destroy the timer.
+    // Copied, since the callback may destroy the timer.
     const std::function<void()> on_fire =
         static_cast<loop_timer*>(self)->on_fire_;
     on_fire();
@@ -42,7 +42,7 @@
     (*taken)();
   };
   if (event_base_once(base, -1, EV_TIMEOUT, call, owned.get(), &at_once) == 0) {
-    // The callback owns it now.
+    // The event's callback now owns the function.
     static_cast<void>(owned.release());
   }
 }
--- a/lib/Net/peer_transport.cc
+++ b/lib/Net/peer_transport.cc
@@ -20,7 +20,7 @@
 
 namespace cuminswitch {
 
-/// The big-endian length before each frame.
+/// The big-endian length, in bytes, that precedes each frame.
 using frame_header = std::array<uint8_t, 4>;
 
 static uint32_t ReadLength(const frame_header& header) {
@@ -34,7 +34,7 @@
           static_cast<uint8_t>(length)};
 }
 
-/// One TCP connection; either side of it.
+/// One TCP connection, outgoing or incoming.
 class peer_transport::connection {
  public:
   connection(peer_transport& owner, int fd) : owner_(owner) {
@@ -74,7 +74,7 @@
  private:
   static void OnReadable(bufferevent* /*stream*/, void* raw) {
     auto* self = static_cast<connection*>(raw);
-    if (!self->TakeFrames()) {
+    if (!self->ReadFrames()) {
       self->owner_.Drop(self);
     }
   }
@@ -87,8 +87,9 @@
     self->owner_.Drop(self);
   }
 
-  /// Returns false when the connection is to be closed.
-  bool TakeFrames() {
+  /// Passes complete frames to the handler. Returns false when the connection
+  /// must be closed.
+  bool ReadFrames() {
     evbuffer* input = bufferevent_get_input(stream_);
     frame_header header;
     while (evbuffer_copyout(input, header.data(), header.size()) ==
--- a/lib/Net/timeval.h
+++ b/lib/Net/timeval.h
@@ -1,4 +1,4 @@
-// The library's time type from ours.
+// Conversion of durations to libevent's time type.
 #ifndef CUMINSWITCH_LIB_NET_TIMEVAL_H_
 #define CUMINSWITCH_LIB_NET_TIMEVAL_H_
 
--- a/unittests/Net/http_test.cc
+++ b/unittests/Net/http_test.cc
@@ -1,4 +1,4 @@
-// The HTTP server and client together on loopback.
+// Tests of the HTTP server and client against each other on loopback.
 #include <event2/event.h>
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -83,7 +83,7 @@
   std::unique_ptr<http_server> server_;
 };
 
-TEST_F(http_test, WholeReplyIsRead) {
+TEST_F(http_test, ReadsCompleteResponse) {
   handler_.serve = [](const auto& exchange) {
     EXPECT_EQ(exchange->Method(), "POST");
     EXPECT_EQ(exchange->Path(), "/a/b");
@@ -103,7 +103,7 @@
   EXPECT_EQ(result.body, "got body");
 }
 
-TEST_F(http_test, ConnectionsAreKeptAndUsedAgain) {
+TEST_F(http_test, ConsecutiveCallsComplete) {
   handler_.serve = [](const auto& exchange) {
     exchange->Reply(200, "text/plain", "x");
   };
@@ -112,9 +112,8 @@
   }
 }
 
-// Symptom: an order that ran is told "not run", or the other way round.
-// Cause: a refused connection and a broken one look alike to a careless
-//   client.
+// A client that confuses a refused connection with a lost one reports "not run"
+// for a request that ran, or the reverse.
 TEST_F(http_test, RefusedConnectionIsNotConnected) {
   http_call_options opts = To("/");
   server_.reset();
@@ -142,17 +141,15 @@
   EXPECT_EQ(result.body, "half");
 }
 
-TEST_F(http_test, SilentServerIsBrokenAfterTheIdleTimeout) {
+TEST_F(http_test, UnresponsiveServerIsBrokenAfterIdleTimeout) {
   handler_.serve = [](const auto&) {};
   http_call_options opts = To("/");
   opts.idle_timeout = std::chrono::milliseconds(50);
   EXPECT_EQ(Call(opts).end, http_result::kBroken);
 }
 
-// Symptom: an answer that takes long breaks off without a word.
-// Sequence: a caller sends its request and waits for longer than the server
-//   waits for a caller's bytes.
-// Cause: a caller that waits for its answer has nothing to send.
+// A caller that waits for its response sends nothing, so the read time-out must
+// not apply to it, or slow responses would be aborted.
 TEST_F(http_test, WaitingCallerIsNotTimedOut) {
   server_ = std::make_unique<http_server>(
       base_,
@@ -168,7 +165,7 @@
   EXPECT_EQ(Call(To("/")).body, "late");
 }
 
-TEST_F(http_test, StreamArrivesWhole) {
+TEST_F(http_test, ReadsCompleteStream) {
   handler_.serve = [](const auto& exchange) {
     exchange->BeginStream(200, "text/event-stream");
     for (int i = 0; i < 1000; ++i) {
@@ -196,11 +193,11 @@
   EXPECT_EQ(Call(opts).head.status, 431U);
 }
 
-TEST_F(http_test, CallerThatLeavesIsNoticed) {
+TEST_F(http_test, ReportsCallerDisconnect) {
   bool closed = false;
-  std::shared_ptr<http_exchange> kept;
+  std::shared_ptr<http_exchange> held;
   handler_.serve = [&](const std::shared_ptr<http_exchange>& exchange) {
-    kept = exchange;
+    held = exchange;
     exchange->BeginStream(200, "text/plain");
     exchange->SendChunk("x");
     exchange->SetOnClosed([&] {
@@ -213,16 +210,16 @@
   result.on_data = [&] { CallLater(base_, [&] { call.reset(); }); };
   event_base_dispatch(base_);
   EXPECT_TRUE(closed);
-  EXPECT_TRUE(kept->IsClosed());
-  kept->SendChunk("nobody reads this");
+  EXPECT_TRUE(held->IsClosed());
+  held->SendChunk("nobody reads this");
 }
 
-// Symptom: a slow caller makes the daemon hold a whole stream in memory.
-// Cause: the upstream is read faster than the caller reads.
+// Without a pause, an upstream that is read faster than a slow caller reads
+// makes the daemon buffer the whole stream.
 TEST_F(http_test, PausedCallIsNotRead) {
-  std::shared_ptr<http_exchange> kept;
+  std::shared_ptr<http_exchange> held;
   handler_.serve = [&](const std::shared_ptr<http_exchange>& exchange) {
-    kept = exchange;
+    held = exchange;
     exchange->BeginStream(200, "text/plain");
     exchange->SendChunk("first");
   };
@@ -233,14 +230,14 @@
   call->PauseReading();
   const std::string piece(1 << 16, 'x');
   for (int i = 0; i < 400; ++i) {
-    kept->SendChunk(piece);
+    held->SendChunk(piece);
     event_base_loop(base_, EVLOOP_NONBLOCK);
   }
   EXPECT_EQ(result.body, "first");
-  EXPECT_GT(kept->PendingBytes(), 1U << 20);
+  EXPECT_GT(held->PendingBytes(), 1U << 20);
   result.on_data = nullptr;
   call->ResumeReading();
-  kept->EndStream();
+  held->EndStream();
   event_base_dispatch(base_);
   EXPECT_EQ(result.body.size(), 5 + 400 * piece.size());
 }
@@ -248,7 +245,7 @@
 TEST_F(http_test, PortInUseIsAnError) {
   try {
     http_server second(base_, {.listen = server_->Address()}, handler_);
-    FAIL() << "two servers on one port";
+    FAIL() << "two servers listen on one port";
   } catch (const bind_error& error) {
     EXPECT_NE(std::string(error.what()).find(server_->Address().ToString()),
               std::string::npos);
--- a/unittests/Net/peer_transport_test.cc
+++ b/unittests/Net/peer_transport_test.cc
@@ -47,7 +47,7 @@
   std::unique_ptr<peer_transport> b_;
 };
 
-TEST_F(peer_transport_test, FramesArriveWholeAndInOrder) {
+TEST_F(peer_transport_test, DeliversCompleteFramesInOrder) {
   handler_.wanted = 200;
   for (size_t i = 0; i < 200; ++i) {
     a_->Send(b_->Address(),
@@ -61,13 +61,13 @@
   EXPECT_EQ(a_->bytes_sent(), b_->bytes_received());
 }
 
-TEST_F(peer_transport_test, RefusedFrameClosesItsConnectionOnly) {
+TEST_F(peer_transport_test, LaterFramesArriveAfterARejectedFrame) {
   handler_.wanted = 1;
   handler_.accepts = false;
   a_->Send(b_->Address(), "bad");
   event_base_dispatch(base_);
   handler_.accepts = true;
-  // The connection is made anew for a later frame.
+  // A later frame opens a new connection.
   for (int i = 0; i < 100 && handler_.frames.size() < 2; ++i) {
     event_base_loop(base_, EVLOOP_NONBLOCK);
     a_->Send(b_->Address(), "good");
@@ -76,11 +76,11 @@
   EXPECT_GE(handler_.frames.size(), 2U);
 }
 
-TEST_F(peer_transport_test, ReceiverThatIsGoneCostsNothing) {
-  const endpoint gone = b_->Address();
+TEST_F(peer_transport_test, SendsToClosedReceiverWithoutError) {
+  const endpoint closed = b_->Address();
   b_.reset();
   for (int i = 0; i < 10; ++i) {
-    a_->Send(gone, "lost");
+    a_->Send(closed, "lost");
     event_base_loop(base_, EVLOOP_NONBLOCK);
   }
 }
