--- a/include/cuminswitch/Platform/blocking_platform.h
+++ b/include/cuminswitch/Platform/blocking_platform.h
@@ -1,5 +1,5 @@
 /// \file
-/// Platform calls that are waited for; for command-line tools.
+/// Synchronous platform calls for command-line tools.
 #ifndef CUMINSWITCH_PLATFORM_BLOCKING_PLATFORM_H_
 #define CUMINSWITCH_PLATFORM_BLOCKING_PLATFORM_H_
 
@@ -9,7 +9,7 @@
 
 namespace cuminswitch {
 
-/// The few calls that an operator's tool needs.
+/// The platform calls that operators' tools need.
 class platform_store {
  public:
   virtual ~platform_store() = default;
@@ -19,7 +19,7 @@
                                         revision_number expected) = 0;
 };
 
-/// Makes each call on a loop of its own.
+/// Makes each call on an event loop of its own.
 class blocking_platform : public platform_store {
  public:
   explicit blocking_platform(const platform_client::options& opts)
--- a/lib/Platform/blocking_platform.cc
+++ b/lib/Platform/blocking_platform.cc
@@ -15,8 +15,8 @@
   platform_reply result;
   {
     platform_client client(base.get(), options_);
-    client.Call(call, [&](const platform_reply& answer) {
-      result = answer;
+    client.Call(call, [&](const platform_reply& reply) {
+      result = reply;
       event_base_loopbreak(base.get());
     });
     event_base_dispatch(base.get());
--- a/lib/Platform/platform_client.cc
+++ b/lib/Platform/platform_client.cc
@@ -46,8 +46,8 @@
   return revision;
 }
 
-/// Reads `[{"host": ..., "peer_address": ..., "leaving": ...}]`; lines that
-/// are not of that form are passed over.
+/// Parses `[{"host": ..., "peer_address": ..., "leaving": ...}]`; elements that
+/// are not of that form are skipped.
 static std::vector<listed_host> ParseHosts(std::string_view text) {
   std::vector<listed_host> hosts;
   const auto json = nlohmann::json::parse(text, nullptr, false);
@@ -69,37 +69,38 @@
   return hosts;
 }
 
-/// One call that has not been answered.
-class platform_client::pending : public http_call_handler {
+/// One call in progress.
+class platform_client::pending_call : public http_call_handler {
  public:
-  pending(platform_client& owner,
-          const platform_call& call,
-          answer_callback on_answer)
+  pending_call(platform_client& owner,
+               const platform_call& call,
+               reply_callback on_reply)
       : owner_(owner),
         operation_(call.operation),
         expected_(call.expected),
-        on_answer_(std::move(on_answer)) {
-    answer_.tag = call.tag;
+        on_reply_(std::move(on_reply)) {
+    reply_.tag = call.tag;
     call_ = owner.client_.Start(MakeCallOptions(owner.options_, call), *this);
   }
 
   void OnHeaders(const http_response_head& head) override {
     status_ = head.status;
-    answer_.revision = ParseRevision(head.Find("X-Revision"));
+    reply_.revision = ParseRevision(head.Find("X-Revision"));
   }
-  void OnData(std::string_view data) override { answer_.value += data; }
+  void OnData(std::string_view data) override { reply_.value += data; }
 
-  void OnEnd(http_result end) override {
-    answer_.status = end == http_result::kComplete ? ReadStatus()
-                                                   : platform_status::kNoAnswer;
-    if (answer_.status == platform_status::kOk &&
+  void OnEnd(http_result result) override {
+    reply_.status = result == http_result::kComplete
+                        ? ReadStatus()
+                        : platform_status::kNoAnswer;
+    if (reply_.status == platform_status::kOk &&
         operation_ == platform_operation::kListHosts) {
-      answer_.hosts = ParseHosts(answer_.value);
+      reply_.hosts = ParseHosts(reply_.value);
     }
-    const answer_callback on_answer = std::move(on_answer_);
-    const platform_reply answer = std::move(answer_);
+    const reply_callback on_reply = std::move(on_reply_);
+    const platform_reply reply = std::move(reply_);
     owner_.pending_.erase(this);
-    on_answer(answer);
+    on_reply(reply);
   }
 
  private:
@@ -108,14 +109,15 @@
       case status_code::kOk:
         return platform_status::kOk;
       case status_code::kNotModified:
-        answer_.revision = expected_;
+        reply_.revision = expected_;
         return platform_status::kOk;
       case status_code::kNotFound:
         return platform_status::kAbsent;
       case status_code::kConflict:
         return platform_status::kConflict;
       default:
-        // An error of the service says nothing of the write's fate.
+        // After an error of the service it is unknown whether a write was
+        // applied.
         return platform_status::kNoAnswer;
     }
   }
@@ -123,8 +125,8 @@
   platform_client& owner_;
   platform_operation operation_;
   revision_number expected_;
-  answer_callback on_answer_;
-  platform_reply answer_;
+  reply_callback on_reply_;
+  platform_reply reply_;
   uint32_t status_ = 0;
   std::unique_ptr<http_call> call_;
 };
@@ -134,10 +136,9 @@
 
 platform_client::~platform_client() = default;
 
-void platform_client::Call(const platform_call& call,
-                           answer_callback on_answer) {
-  auto item = std::make_unique<pending>(*this, call, std::move(on_answer));
-  pending* key = item.get();
+void platform_client::Call(const platform_call& call, reply_callback on_reply) {
+  auto item = std::make_unique<pending_call>(*this, call, std::move(on_reply));
+  pending_call* key = item.get();
   pending_[key] = std::move(item);
 }
 
