--- a/include/cuminswitch/Daemon/request_relay.h
+++ b/include/cuminswitch/Daemon/request_relay.h
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string>
 
-#include "cuminswitch/Daemon/answer_reader.h"
+#include "cuminswitch/Daemon/response_reader.h"
 #include "cuminswitch/Net/http_client.h"
 #include "cuminswitch/Protocol/core_action.h"
 #include "cuminswitch/Protocol/core_event.h"
@@ -92,7 +92,7 @@
   bool saw_data_ = false;
   std::string buffered_body_;
   bool body_too_long_ = false;
-  answer_reader reader_;
+  response_reader reader_;
   std::string recorded_body_;
   bool is_record_complete_ = true;
   std::chrono::steady_clock::time_point last_data_;
--- a/include/cuminswitch/Daemon/answer_reader.h
+++ b/include/cuminswitch/Daemon/response_reader.h
@@ -1,8 +1,8 @@
 /// \file
 /// Parses an engine's streamed response as it is relayed: whether it is
 /// complete, and how many tokens it used.
-#ifndef CUMINSWITCH_DAEMON_ANSWER_READER_H_
-#define CUMINSWITCH_DAEMON_ANSWER_READER_H_
+#ifndef CUMINSWITCH_DAEMON_RESPONSE_READER_H_
+#define CUMINSWITCH_DAEMON_RESPONSE_READER_H_
 
 #include <cstdint>
 #include <string>
@@ -19,7 +19,7 @@
 
 /// Incremental parser of a stream of server-sent events; the stream may be
 /// split at any byte.
-class answer_reader {
+class response_reader {
  public:
   /// Parses the next bytes of the stream.
   void Feed(std::string_view data);
@@ -42,4 +42,4 @@
 
 }  // namespace cuminswitch
 
-#endif  // CUMINSWITCH_DAEMON_ANSWER_READER_H_
+#endif  // CUMINSWITCH_DAEMON_RESPONSE_READER_H_
--- a/lib/Daemon/request_relay.cc
+++ b/lib/Daemon/request_relay.cc
@@ -43,7 +43,7 @@
   saw_data_ = false;
   buffered_body_.clear();
   body_too_long_ = false;
-  reader_ = answer_reader();
+  reader_ = response_reader();
   recorded_body_.clear();
   is_record_complete_ = true;
   http_headers headers = options_.headers;
--- a/lib/Daemon/answer_reader.cc
+++ b/lib/Daemon/response_reader.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Daemon/answer_reader.h"
+#include "cuminswitch/Daemon/response_reader.h"
 
 #include <nlohmann/json.hpp>
 
@@ -36,7 +36,7 @@
   return result;
 }
 
-void answer_reader::Feed(std::string_view data) {
+void response_reader::Feed(std::string_view data) {
   while (!data.empty()) {
     const size_t end = data.find('\n');
     const std::string_view piece = data.substr(0, end);
@@ -59,7 +59,7 @@
   }
 }
 
-void answer_reader::ProcessLine(std::string_view line) {
+void response_reader::ProcessLine(std::string_view line) {
   if (!line.empty() && line.back() == '\r') {
     line.remove_suffix(1);
   }
--- a/unittests/Daemon/answer_reader_test.cc
+++ b/unittests/Daemon/response_reader_test.cc
@@ -1,4 +1,4 @@
-#include "cuminswitch/Daemon/answer_reader.h"
+#include "cuminswitch/Daemon/response_reader.h"
 
 #include <gtest/gtest.h>
 
@@ -15,11 +15,11 @@
     "\"prompt_tokens_details\":{\"cached_tokens\":64}}}\r\n\r\n"
     "data: [DONE]\n\n";
 
-TEST(AnswerReaderTest, ReadsUsageAndTerminatorAtAnyFragmentation) {
+TEST(ResponseReaderTest, ReadsUsageAndTerminatorAtAnyFragmentation) {
   std::mt19937_64 random(3);
   const std::string stream = kStream;
   for (int round = 0; round < 500; ++round) {
-    answer_reader reader;
+    response_reader reader;
     for (size_t at = 0; at < stream.size();) {
       const size_t size = 1 + random() % 20;
       reader.Feed(std::string_view(stream).substr(at, size));
@@ -34,26 +34,26 @@
 
 // A truncated stream must not count as complete, wherever it stops before its
 // terminator: the end of the connection is not the end of the response.
-TEST(AnswerReaderTest, TruncatedStreamHasNoTerminator) {
+TEST(ResponseReaderTest, TruncatedStreamHasNoTerminator) {
   const std::string stream = kStream;
   const size_t mark = stream.find("[DONE]") + 6;
   for (size_t size = 0; size < mark; ++size) {
-    answer_reader reader;
+    response_reader reader;
     reader.Feed(std::string_view(stream).substr(0, size));
     EXPECT_FALSE(reader.SawEnd()) << size;
   }
 }
 
-TEST(AnswerReaderTest, TerminatorInsideATokenDoesNotEndTheStream) {
-  answer_reader reader;
+TEST(ResponseReaderTest, TerminatorInsideATokenDoesNotEndTheStream) {
+  response_reader reader;
   reader.Feed("data: {\"content\":\"data: [DONE]\"}\n\n");
   EXPECT_FALSE(reader.SawEnd());
 }
 
 // A line is buffered until its line feed arrives, so a faulty engine that sends
 // an endless line would grow the daemon's memory without the size limit.
-TEST(AnswerReaderTest, SkipsLineOverTheSizeLimit) {
-  answer_reader reader;
+TEST(ResponseReaderTest, SkipsLineOverTheSizeLimit) {
+  response_reader reader;
   const std::string piece(10'000, 'x');
   for (int i = 0; i < 100; ++i) {
     reader.Feed(piece);
@@ -62,11 +62,11 @@
   EXPECT_TRUE(reader.SawEnd());
 }
 
-TEST(AnswerReaderFuzzTest, AcceptsArbitraryBytes) {
+TEST(ResponseReaderFuzzTest, AcceptsArbitraryBytes) {
   std::mt19937_64 random(4);
   const std::string alphabet = "data: {}[]\"usage:\n\r0123456789DONE";
   for (int round = 0; round < 2000; ++round) {
-    answer_reader reader;
+    response_reader reader;
     std::string bytes;
     for (uint64_t i = random() % 200; i > 0; --i) {
       bytes.push_back(alphabet[random() % alphabet.size()]);
--- a/utils/ask/ask.cc
+++ b/utils/ask/ask.cc
@@ -12,7 +12,7 @@
 
 #include "cuminswitch/CommandLine/option_parser.h"
 #include "cuminswitch/CommandLine/program.h"
-#include "cuminswitch/Daemon/answer_reader.h"
+#include "cuminswitch/Daemon/response_reader.h"
 #include "cuminswitch/Net/blocking_http.h"
 #include "cuminswitch/Net/http_call.h"
 
@@ -47,7 +47,7 @@
   uint32_t status = 0;
   http_result result = http_result::kNotConnected;
   std::optional<clock::time_point> first_byte;
-  answer_reader reader;
+  response_reader reader;
   std::string text;
 
  private:
--- a/utils/load_tool/caller.h
+++ b/utils/load_tool/caller.h
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string>
 
-#include "cuminswitch/Daemon/answer_reader.h"
+#include "cuminswitch/Daemon/response_reader.h"
 #include "cuminswitch/Net/http_client.h"
 #include "load_tool/workload.h"
 
@@ -59,7 +59,7 @@
   callback on_done_;
   call_result result_;
   clock::time_point sent_;
-  answer_reader reader_;
+  response_reader reader_;
   std::string body_;
   std::string digest_;
   std::unique_ptr<http_call> call_;
