--- a/benchmarks/core_benchmark.cc
+++ b/benchmarks/core_benchmark.cc
@@ -47,14 +47,15 @@
         {.hash = 100 + contract, .tokens = 5000},
         {.hash = 100'000 + contract, .tokens = 5200}};
     const eligible_replicas eligible = table.ListEligible(now, "m", {}, {});
-    const placement chosen = policy.Choose({.now = now,
-                                            .levels = levels,
-                                            .prompt_tokens = 5200,
-                                            .eligible = eligible.indices,
-                                            .has_room = eligible.has_room,
-                                            .replicas = table,
-                                            .prefixes = prefixes,
-                                            .reuse_weight = 3});
+    const placement chosen =
+        policy.Choose({.now = now,
+                       .levels = levels,
+                       .prompt_tokens = 5200,
+                       .eligible = eligible.indices,
+                       .has_free_slot = eligible.has_free_slot,
+                       .replicas = table,
+                       .prefixes = prefixes,
+                       .reuse_weight = 3});
     for (const prefix_level& level : levels) {
       prefixes.Touch(level.hash, {.index = chosen.index, .used_at = now});
     }
--- a/include/cuminswitch/Admission/workspace_limiter.h
+++ b/include/cuminswitch/Admission/workspace_limiter.h
@@ -20,7 +20,9 @@
 class workspace_limiter {
  public:
   /// Whether one more request is within \p limit.
-  bool HasRoom(time_point now, uint64_t workspace_hash, uint32_t limit) const;
+  bool IsWithinLimit(time_point now,
+                     uint64_t workspace_hash,
+                     uint32_t limit) const;
   void OnStart(uint64_t workspace_hash);
   void OnEnd(uint64_t workspace_hash);
   /// Applies a report of \p host, which replaces its previous one.
--- a/include/cuminswitch/Routing/placement_query.h
+++ b/include/cuminswitch/Routing/placement_query.h
@@ -25,7 +25,7 @@
   /// Replicas that can serve the request, in ascending order; never empty.
   std::span<const replica_index> eligible;
   /// For each eligible replica, whether it has a free slot now.
-  const std::vector<bool>& has_room;
+  const std::vector<bool>& has_free_slot;
   /// For each eligible replica, an additional cost in seconds; may be empty for
   /// none.
   std::span<const double> penalty_seconds = {};
--- a/include/cuminswitch/Routing/replica_table.h
+++ b/include/cuminswitch/Routing/replica_table.h
@@ -30,7 +30,7 @@
   /// Healthy replicas that serve the target, in ascending order.
   std::vector<replica_index> indices;
   /// For each of them, whether it has a free slot for one more request.
-  std::vector<bool> has_room;
+  std::vector<bool> has_free_slot;
   /// For each of them, an additional cost in seconds: what a response loses in
   /// value when it is generated there.
   std::vector<double> penalty_seconds;
@@ -189,7 +189,7 @@
   double EstimateWaiting(time_point now, replica_index index) const;
   /// Returns the estimated seconds until a replica without a free slot has one
   /// for one more request, behind those that already wait for it.
-  double EstimateRoomSeconds(time_point now, replica_index index) const;
+  double EstimateSecondsToFreeSlot(time_point now, replica_index index) const;
   /// Resets the counts of requests that wait for each replica, so that they can
   /// be counted again with `CountQueued()`.
   void ClearQueued();
@@ -227,7 +227,7 @@
                          uint32_t running,
                          uint32_t waiting);
   static void RaiseLimit(replica& item);
-  static bool HasRoom(time_point now, const replica& item);
+  static bool HasFreeSlot(time_point now, const replica& item);
   static bool ServesVersion(const replica& item,
                             std::string_view target,
                             std::string_view version);
--- a/lib/Admission/workspace_limiter.cc
+++ b/lib/Admission/workspace_limiter.cc
@@ -10,9 +10,9 @@
 /// Most workspaces in a heartbeat, so that its size stays bounded.
 static constexpr size_t kMaxReported = 32;
 
-bool workspace_limiter::HasRoom(time_point now,
-                                uint64_t workspace_hash,
-                                uint32_t limit) const {
+bool workspace_limiter::IsWithinLimit(time_point now,
+                                      uint64_t workspace_hash,
+                                      uint32_t limit) const {
   uint64_t total = InFlight(workspace_hash);
   for (const auto& [host, usage] : peers_) {
     if (now - usage.at > kUsageLifetime) {
--- a/lib/Core/request_notices.cc
+++ b/lib/Core/request_notices.cc
@@ -50,7 +50,7 @@
     return false;
   }
   const duration wait =
-      FromSeconds(replicas_.EstimateRoomSeconds(now, chosen.index));
+      FromSeconds(replicas_.EstimateSecondsToFreeSlot(now, chosen.index));
   if (now + wait < item.deadline) {
     return false;
   }
--- a/lib/Core/request_permits.cc
+++ b/lib/Core/request_permits.cc
@@ -16,7 +16,7 @@
 static bool HasOtherWithCapacity(const eligible_replicas& eligible,
                                  replica_index chosen) {
   for (size_t i = 0; i < eligible.indices.size(); ++i) {
-    if (eligible.has_room[i] && eligible.indices[i] != chosen) {
+    if (eligible.has_free_slot[i] && eligible.indices[i] != chosen) {
       return true;
     }
   }
--- a/lib/Core/request_refusals.cc
+++ b/lib/Core/request_refusals.cc
@@ -55,7 +55,8 @@
     return false;
   }
   const double capacity_seconds =
-      chosen.must_wait ? replicas_.EstimateRoomSeconds(now, chosen.index) : 0;
+      chosen.must_wait ? replicas_.EstimateSecondsToFreeSlot(now, chosen.index)
+                       : 0;
   const double prefill_seconds =
       (item.info.prompt_tokens - chosen.expected_cached_tokens) /
       replicas_[chosen.index].prefill_rate;
--- a/lib/Core/request_router.cc
+++ b/lib/Core/request_router.cc
@@ -266,8 +266,8 @@
     return true;
   }
   if (!item.is_counted_in_flight &&
-      !limiter_.HasRoom(now, item.workspace_hash,
-                        item.workspace->max_in_flight)) {
+      !limiter_.IsWithinLimit(now, item.workspace_hash,
+                              item.workspace->max_in_flight)) {
     return false;
   }
   const eligible_replicas eligible = replicas_.ListEligible(
@@ -285,7 +285,7 @@
        .levels = item.info.levels,
        .prompt_tokens = item.info.prompt_tokens,
        .eligible = eligible.indices,
-       .has_room = eligible.has_room,
+       .has_free_slot = eligible.has_free_slot,
        .penalty_seconds = eligible.penalty_seconds,
        .weights = eligible.weights,
        .replicas = replicas_,
--- a/lib/Routing/placement_policy.cc
+++ b/lib/Routing/placement_policy.cc
@@ -18,24 +18,24 @@
 class baseline_policy : public placement_policy {
  public:
   placement Choose(const placement_query& query) override {
-    with_room_.clear();
+    with_free_slot_.clear();
     for (size_t i = 0; i < query.eligible.size(); ++i) {
-      if (query.has_room[i]) {
-        with_room_.push_back(query.eligible[i]);
+      if (query.has_free_slot[i]) {
+        with_free_slot_.push_back(query.eligible[i]);
       }
     }
-    if (with_room_.empty()) {
+    if (with_free_slot_.empty()) {
       return {.index = query.eligible.front(), .must_wait = true};
     }
-    return {.index = Pick(query, with_room_)};
+    return {.index = Pick(query, with_free_slot_)};
   }
 
  protected:
   virtual replica_index Pick(const placement_query& query,
-                             std::span<const replica_index> with_room) = 0;
+                             std::span<const replica_index> with_free_slot) = 0;
 
  private:
-  std::vector<replica_index> with_room_;
+  std::vector<replica_index> with_free_slot_;
 };
 
 class random_policy : public baseline_policy {
@@ -44,8 +44,8 @@
 
  protected:
   replica_index Pick(const placement_query& /*query*/,
-                     std::span<const replica_index> with_room) override {
-    return with_room[random_() % with_room.size()];
+                     std::span<const replica_index> with_free_slot) override {
+    return with_free_slot[random_() % with_free_slot.size()];
   }
 
  private:
@@ -55,8 +55,8 @@
 class round_robin_policy : public baseline_policy {
  protected:
   replica_index Pick(const placement_query& /*query*/,
-                     std::span<const replica_index> with_room) override {
-    return with_room[next_++ % with_room.size()];
+                     std::span<const replica_index> with_free_slot) override {
+    return with_free_slot[next_++ % with_free_slot.size()];
   }
 
  private:
@@ -69,11 +69,12 @@
 
  protected:
   replica_index Pick(const placement_query& query,
-                     std::span<const replica_index> with_room) override {
-    const size_t start = random_() % with_room.size();
-    replica_index best = with_room[start];
-    for (size_t i = 1; i < with_room.size(); ++i) {
-      const replica_index index = with_room[(start + i) % with_room.size()];
+                     std::span<const replica_index> with_free_slot) override {
+    const size_t start = random_() % with_free_slot.size();
+    replica_index best = with_free_slot[start];
+    for (size_t i = 1; i < with_free_slot.size(); ++i) {
+      const replica_index index =
+          with_free_slot[(start + i) % with_free_slot.size()];
       if (Load(query, index) < Load(query, best)) {
         best = index;
       }
@@ -94,14 +95,14 @@
 class prefix_hash_policy : public baseline_policy {
  protected:
   replica_index Pick(const placement_query& query,
-                     std::span<const replica_index> with_room) override {
+                     std::span<const replica_index> with_free_slot) override {
     const size_t count = query.levels.size();
     const uint64_t key =
         count == 0 ? 0 : query.levels[count >= 2 ? count - 2 : 0].hash;
     const auto weight = [&](replica_index index) {
       return RendezvousWeight(key, query.replicas[index].name_hash);
     };
-    return *std::max_element(with_room.begin(), with_room.end(),
+    return *std::max_element(with_free_slot.begin(), with_free_slot.end(),
                              [&](replica_index a, replica_index b) {
                                return weight(a) < weight(b);
                              });
--- a/lib/Routing/prefix_cost_policy.cc
+++ b/lib/Routing/prefix_cost_policy.cc
@@ -230,14 +230,14 @@
     if (!query.penalty_seconds.empty()) {
       cost += query.penalty_seconds[i];
     }
-    if (!query.has_room[i]) {
-      cost += query.replicas.EstimateRoomSeconds(query.now, index);
+    if (!query.has_free_slot[i]) {
+      cost += query.replicas.EstimateSecondsToFreeSlot(query.now, index);
     }
     if (cost < best_cost) {
       best_cost = cost;
       best = {
           .index = index,
-          .must_wait = !query.has_room[i],
+          .must_wait = !query.has_free_slot[i],
           .expected_cached_tokens = can_copy ? shared : expected_cached_[i]};
     }
   }
--- a/lib/Routing/replica_eligibility.cc
+++ b/lib/Routing/replica_eligibility.cc
@@ -107,7 +107,7 @@
   return item.others_waiting * std::exp2(-age / kReportHalfLifeSeconds);
 }
 
-bool replica_table::HasRoom(time_point now, const replica& item) {
+bool replica_table::HasFreeSlot(time_point now, const replica& item) {
   if (now < item.UnavailableUntil()) {
     return false;
   }
@@ -153,7 +153,7 @@
     }
     eligible_replicas& list = now >= item.ejected_until ? result : ejected;
     list.indices.push_back(index);
-    list.has_room.push_back(HasRoom(now, item));
+    list.has_free_slot.push_back(HasFreeSlot(now, item));
     list.penalty_seconds.push_back(*penalty);
     list.weights.push_back(WeightsAt(index, target));
   }
@@ -179,8 +179,8 @@
   return (item.pending_tokens + others) / item.prefill_rate;
 }
 
-double replica_table::EstimateRoomSeconds(time_point now,
-                                          replica_index index) const {
+double replica_table::EstimateSecondsToFreeSlot(time_point now,
+                                                replica_index index) const {
   const replica& item = replicas_[index];
   // Slots become free at the rate at which prompts are computed or responses
   // end, whichever is slower. The time that requests wait in the engine is left
@@ -189,8 +189,8 @@
   const double compute_seconds = item.computed_per_request / item.prefill_rate;
   const double seconds_per_response =
       item.response_seconds / std::max(1.0, item.limit);
-  const double room = (item.queued_locally + 1) *
-                      std::max(compute_seconds, seconds_per_response);
+  const double slot_wait = (item.queued_locally + 1) *
+                           std::max(compute_seconds, seconds_per_response);
   double opens_in = std::max(0.0, ToSeconds(item.backoff_until - now));
   if (now < item.limited_until) {
     // At an upstream with a rate limit, requests start at this daemon's send
@@ -199,7 +199,7 @@
         opens_in, ToSeconds(item.limited_until - now) +
                       item.queued_locally * ToSeconds(item.send_interval));
   }
-  return std::max(room, opens_in);
+  return std::max(slot_wait, opens_in);
 }
 
 }  // namespace cuminswitch
--- a/unittests/Admission/limits_test.cc
+++ b/unittests/Admission/limits_test.cc
@@ -18,9 +18,9 @@
   workspace_limiter limiter;
   limiter.OnStart(1);
   limiter.OnPeerUsage(At(0), "h2", {{.workspace_hash = 1, .in_flight = 3}});
-  EXPECT_TRUE(limiter.HasRoom(At(0), 1, 5));
-  EXPECT_FALSE(limiter.HasRoom(At(0), 1, 4));
-  EXPECT_TRUE(limiter.HasRoom(At(0), 2, 1));
+  EXPECT_TRUE(limiter.IsWithinLimit(At(0), 1, 5));
+  EXPECT_FALSE(limiter.IsWithinLimit(At(0), 1, 4));
+  EXPECT_TRUE(limiter.IsWithinLimit(At(0), 2, 1));
 }
 
 // Guards against a workspace that stays limited without running requests
@@ -28,16 +28,16 @@
 TEST(WorkspaceLimiterTest, IgnoresOldReports) {
   workspace_limiter limiter;
   limiter.OnPeerUsage(At(0), "h2", {{.workspace_hash = 1, .in_flight = 9}});
-  EXPECT_FALSE(limiter.HasRoom(At(1000), 1, 5));
-  EXPECT_TRUE(limiter.HasRoom(At(4000), 1, 5));
+  EXPECT_FALSE(limiter.IsWithinLimit(At(1000), 1, 5));
+  EXPECT_TRUE(limiter.IsWithinLimit(At(4000), 1, 5));
 }
 
 TEST(WorkspaceLimiterTest, EndedRequestsNoLongerCount) {
   workspace_limiter limiter;
   limiter.OnStart(1);
-  EXPECT_FALSE(limiter.HasRoom(At(0), 1, 1));
+  EXPECT_FALSE(limiter.IsWithinLimit(At(0), 1, 1));
   limiter.OnEnd(1);
-  EXPECT_TRUE(limiter.HasRoom(At(0), 1, 1));
+  EXPECT_TRUE(limiter.IsWithinLimit(At(0), 1, 1));
   EXPECT_TRUE(limiter.ListUsage().empty());
 }
 
--- a/unittests/Routing/prefix_cost_policy_test.cc
+++ b/unittests/Routing/prefix_cost_policy_test.cc
@@ -35,7 +35,7 @@
                              .models = {{.name = "m", .version = "1"}}});
     }
     eligible_.resize(12);
-    has_room_.assign(12, true);
+    has_free_slot_.assign(12, true);
     std::iota(eligible_.begin(), eligible_.end(), 0);
   }
 
@@ -50,7 +50,7 @@
             .levels = levels_,
             .prompt_tokens = kPromptTokens,
             .eligible = eligible_,
-            .has_room = has_room_,
+            .has_free_slot = has_free_slot_,
             .replicas = table_,
             .prefixes = prefixes_,
             .reuse_weight = 3};
@@ -77,7 +77,7 @@
   replica_table table_;
   prefix_index prefixes_;
   std::vector<replica_index> eligible_;
-  std::vector<bool> has_room_;
+  std::vector<bool> has_free_slot_;
   std::vector<prefix_level> levels_;
   prefix_cost_policy policy_;
 };
@@ -135,7 +135,7 @@
        WaitsForAReplicaWithThePrefixThatSoonHasAFreeSlot) {
   const replica_index preferred = RankReplicas(5)[0];
   Warm(5, preferred);
-  has_room_[preferred] = false;
+  has_free_slot_[preferred] = false;
   const placement chosen = Choose(5);
   EXPECT_EQ(chosen.index, preferred);
   EXPECT_TRUE(chosen.must_wait);
@@ -175,21 +175,22 @@
       }
     }
     const replica& item = query.replicas[index];
-    const double room = query.has_room[i] ? 0
-                                          : query.replicas.EstimateRoomSeconds(
-                                                query.now, index);
+    const double slot_wait =
+        query.has_free_slot[i]
+            ? 0
+            : query.replicas.EstimateSecondsToFreeSlot(query.now, index);
     const double missing = std::max(0.0, shared.tokens - cached);
     const double unshared =
         query.prompt_tokens - std::max<double>(shared.tokens, cached);
     const double waiting = query.replicas.EstimateWaiting(query.now, index);
     const double cost =
-        room + query.replicas.EstimateQueueSeconds(query.now, index) +
+        slot_wait + query.replicas.EstimateQueueSeconds(query.now, index) +
         (unshared + (weight + waiting) * missing) / item.prefill_rate +
         0.002 * item.in_flight;
     if (cost < best_cost) {
       best_cost = cost;
       best = {.index = index,
-              .must_wait = !query.has_room[i],
+              .must_wait = !query.has_free_slot[i],
               .expected_cached_tokens = cached};
     }
   }
@@ -204,12 +205,12 @@
     table_.OnDispatch(static_cast<replica_index>(random() % 12),
                       static_cast<double>(random() % 4000));
     eligible_.clear();
-    has_room_.clear();
+    has_free_slot_.clear();
     prefixes_.CountUse(now_, random() % 20);
     for (replica_index index = 0; index < 12; ++index) {
       if (random() % 4 != 0) {
         eligible_.push_back(index);
-        has_room_.push_back(random() % 3 != 0);
+        has_free_slot_.push_back(random() % 3 != 0);
       }
     }
     if (eligible_.empty()) {
--- a/unittests/Routing/replica_table_test.cc
+++ b/unittests/Routing/replica_table_test.cc
@@ -80,19 +80,20 @@
   upstream_report restarted = MakeReport("a");
   restarted.incarnation = 2;
   table_.OnReport(At(10'000), restarted);
-  const auto count_room = [&](int millis) {
-    int room = 0;
-    while (table_.ListEligible(At(millis), "m", {}, {{1}}).has_room.at(0)) {
+  const auto count_free_slots = [&](int millis) {
+    int free_slots = 0;
+    while (
+        table_.ListEligible(At(millis), "m", {}, {{1}}).has_free_slot.at(0)) {
       table_.OnDispatch(0, 0);
-      ++room;
+      ++free_slots;
     }
-    for (int i = 0; i < room; ++i) {
+    for (int i = 0; i < free_slots; ++i) {
       table_.OnEnd(0);
     }
-    return room;
+    return free_slots;
   };
-  EXPECT_EQ(count_room(10'000), 2);
-  EXPECT_EQ(count_room(14'000), 8);
+  EXPECT_EQ(count_free_slots(10'000), 2);
+  EXPECT_EQ(count_free_slots(14'000), 8);
 }
 
 // Guards against a restarted upstream that gets no requests: it failed, was
--- a/unittests/StreamPauses/stream_pauses_test.cc
+++ b/unittests/StreamPauses/stream_pauses_test.cc
@@ -199,7 +199,7 @@
          .levels = levels,
          .prompt_tokens = static_cast<uint32_t>(item.prompt_tokens),
          .eligible = eligible.indices,
-         .has_room = eligible.has_room,
+         .has_free_slot = eligible.has_free_slot,
          .replicas = daemon.table,
          .prefixes = daemon.prefixes,
          .reuse_weight = 3,
