--- a/benchmarks/limit_ways.cc
+++ b/benchmarks/limit_ways.cc
@@ -43,9 +43,9 @@
     {.name = "5 times, 3 in 100 lost", .loss = 0.03},
 };
 
-void Play(quota_way way, size_t size, double rate, const played_case& item) {
+void Play(quota_mode mode, size_t size, double rate, const played_case& item) {
   quota_fleet fleet({.daemons = size,
-                     .way = way,
+                     .mode = mode,
                      .fallback = quota_fallback::kRefuse,
                      .loss = item.loss});
   const quota_limit quota = QuotaOfLimit(rate);
@@ -72,7 +72,7 @@
   const double allowed = AllowedByLimit(rate);
   const double most = fleet.MostWithin(kLimitWindow.count());
   std::printf("%-5s %4zu %6.1f  %-28s %8.0f of %6.0f%s %8.2f %10zu\n",
-              way == quota_way::kOwner ? "owner" : "even", size, rate,
+              mode == quota_mode::kOwner ? "owner" : "even", size, rate,
               item.name, most, allowed, most > allowed ? "!" : " ",
               fleet.admitted() / rate / busy, fleet.messages());
 }
@@ -87,8 +87,8 @@
   for (const size_t size : {1, 8, 68, 300, 600}) {
     for (const double rate : {0.2, 1.0, 5.0, 200.0}) {
       for (const cuminswitch::played_case& item : cuminswitch::kCases) {
-        cuminswitch::Play(cuminswitch::quota_way::kOwner, size, rate, item);
-        cuminswitch::Play(cuminswitch::quota_way::kEven, size, rate, item);
+        cuminswitch::Play(cuminswitch::quota_mode::kOwner, size, rate, item);
+        cuminswitch::Play(cuminswitch::quota_mode::kEven, size, rate, item);
       }
     }
   }
--- a/benchmarks/quota_ways.cc
+++ b/benchmarks/quota_ways.cc
@@ -35,8 +35,8 @@
     {.name = "10 times, all killed", .load = 10, .killed = 1},
 };
 
-void Play(quota_way way, size_t size, const played_case& item) {
-  quota_fleet fleet({.daemons = size, .way = way});
+void Play(quota_mode mode, size_t size, const played_case& item) {
+  quota_fleet fleet({.daemons = size, .mode = mode});
   fleet.SetLimit(kRate, kRate, 0);
   const quota_fleet::load quiet{
       .rate = [](double) { return 0.0; },
@@ -61,7 +61,7 @@
                        return (first + random() % hosts) % size;
                      }});
   std::printf("%-5s %4zu  %-30s %6.2f %8.1f%% %10.2f %12zu\n",
-              way == quota_way::kOwner ? "owner" : "even", size, item.name,
+              mode == quota_mode::kOwner ? "owner" : "even", size, item.name,
               fleet.MostWithin(kWindow) / kRate, fleet.RefusedShare() * 100,
               fleet.admitted() / kRate / 25, fleet.messages());
 }
@@ -77,8 +77,8 @@
       "refused of all sent)\n");
   for (const size_t size : {8, 68, 300}) {
     for (const cuminswitch::played_case& item : cuminswitch::kCases) {
-      cuminswitch::Play(cuminswitch::quota_way::kOwner, size, item);
-      cuminswitch::Play(cuminswitch::quota_way::kEven, size, item);
+      cuminswitch::Play(cuminswitch::quota_mode::kOwner, size, item);
+      cuminswitch::Play(cuminswitch::quota_mode::kEven, size, item);
     }
   }
   return 0;
--- a/include/cuminswitch/Protocol/upstream_notice.h
+++ b/include/cuminswitch/Protocol/upstream_notice.h
@@ -13,7 +13,8 @@
 /// Whether a response carries a value of this kind.
 enum class notice_kind : uint8_t {
   kNone,
-  kNamed,
+  /// It carries one that can be parsed.
+  kValid,
   /// It carries one that cannot be parsed.
   kUnreadable,
 };
--- a/lib/Admission/upstream_limits.cc
+++ b/lib/Admission/upstream_limits.cc
@@ -71,7 +71,7 @@
                                                   time_point sent,
                                                   const limit_notice& notice) {
   switch (notice.kind) {
-    case notice_kind::kNamed:
+    case notice_kind::kValid:
       return ApplyLimit(now,
                         {.upstream = upstream, .at = now, .is_local = true},
                         notice.rate);
--- a/lib/Daemon/gateway_task.cc
+++ b/lib/Daemon/gateway_task.cc
@@ -280,8 +280,8 @@
                "the credential is not known");
     return nullptr;
   }
-  const std::string named = exchange->Header("X-Workspace");
-  if (!named.empty() && named != found->second->name) {
+  const std::string workspace_name = exchange->Header("X-Workspace");
+  if (!workspace_name.empty() && workspace_name != found->second->name) {
     ReplyError(*exchange, status_code::kForbidden,
                "the credential is not that workspace's");
     return nullptr;
--- a/lib/Edge/edge_task.cc
+++ b/lib/Edge/edge_task.cc
@@ -157,8 +157,8 @@
   } else if (const auto* ended = std::get_if<attempt_ended>(&event)) {
     router_.OnAttemptEnded(now, *ended, actions);
     LogQuarantines();
-  } else if (const auto* gone = std::get_if<caller_gone>(&event)) {
-    router_.OnCallerGone(now, *gone, actions);
+  } else if (const auto* disconnected = std::get_if<caller_gone>(&event)) {
+    router_.OnCallerGone(now, *disconnected, actions);
   }
   Perform(now, actions);
 }
--- a/unittests/Admission/quota_fleet.cc
+++ b/unittests/Admission/quota_fleet.cc
@@ -60,7 +60,7 @@
   // The daemons of the initial fleet have been up for a long time.
   item.started_at = now_ == 0 ? -kStartSeconds : now_;
   const uint64_t id = index + 1 + daemons_.size() * ++item.start_count;
-  if (options_.way == quota_way::kEven) {
+  if (options_.mode == quota_mode::kEven) {
     item.policy =
         std::make_unique<even_quota_policy>(even_quota_policy::options{id});
   } else {
--- a/unittests/Admission/quota_fleet.h
+++ b/unittests/Admission/quota_fleet.h
@@ -17,7 +17,7 @@
 namespace cuminswitch {
 
 /// The policy that a fleet runs.
-enum class quota_way { kOwner, kEven };
+enum class quota_mode { kOwner, kEven };
 
 /// A fleet's daemons, the network between them, and the callers of one
 /// workspace. Daemons learn late which others are alive, messages are delayed
@@ -26,7 +26,7 @@
  public:
   struct options {
     size_t daemons = 68;
-    quota_way way = quota_way::kOwner;
+    quota_mode mode = quota_mode::kOwner;
     quota_fallback fallback = quota_fallback::kEvenShare;
     uint64_t seed = 1;
     /// Longest time until a daemon sees a change of the fleet.
--- a/unittests/Admission/quota_fleet_test.cc
+++ b/unittests/Admission/quota_fleet_test.cc
@@ -177,7 +177,7 @@
 // workspace's requests below its limit, since one prompt weighs more than a
 // share.
 TEST(QuotaFleet, EvenSharesKeepTheLimitButRefuseLoadBelowIt) {
-  quota_fleet fleet({.daemons = 68, .way = quota_way::kEven});
+  quota_fleet fleet({.daemons = 68, .mode = quota_mode::kEven});
   fleet.SetLimit(kUnitsPerSecond, kUnitsPerSecond, 0);
   fleet.Run(30,
             {.rate = Steady(0.9 * kUnitsPerSecond), .choose = Anywhere(68)});
--- a/unittests/Admission/upstream_limits_test.cc
+++ b/unittests/Admission/upstream_limits_test.cc
@@ -14,7 +14,7 @@
   return time_point(FromSeconds(1'000 + seconds));
 }
 limit_notice Advertised(double rate) {
-  return {.kind = notice_kind::kNamed, .rate = rate};
+  return {.kind = notice_kind::kValid, .rate = rate};
 }
 
 TEST(upstream_limits_test, AddsChangesAndEndsALimit) {
--- a/unittests/Core/upstream_limit_test.cc
+++ b/unittests/Core/upstream_limit_test.cc
@@ -48,7 +48,7 @@
   }
   void AdvertiseLimit(const std::string& upstream, double rate) {
     router_.OnLimit(now_, Hash64(upstream), now_,
-                    {.kind = notice_kind::kNamed, .rate = rate});
+                    {.kind = notice_kind::kValid, .rate = rate});
   }
   void SendRequest(request_id id) {
     router_.OnRequest(now_,
--- a/unittests/Core/upstream_notice_test.cc
+++ b/unittests/Core/upstream_notice_test.cc
@@ -160,7 +160,7 @@
   SendRequest();
   const auto sent = *TakeDispatch();
   router_.OnLimit(now_, Hash64(sent.upstream), now_,
-                  {.kind = notice_kind::kNamed, .rate = 5});
+                  {.kind = notice_kind::kValid, .rate = 5});
   RequestBackoff(sent, seconds(3));
   out_.clear();
   now_ += milliseconds(10);
@@ -173,7 +173,7 @@
   const auto sent = *TakeDispatch();
   for (const std::string& name : names_) {
     router_.OnLimit(now_, Hash64(name), now_,
-                    {.kind = notice_kind::kNamed, .rate = 5});
+                    {.kind = notice_kind::kValid, .rate = 5});
   }
   SendRequest();
   auto asked = router_.TakePermitRequests();
--- a/unittests/Edge/request_flow_test.cc
+++ b/unittests/Edge/request_flow_test.cc
@@ -215,7 +215,7 @@
   RunUntil(base_, [&] { return owner_.failed > 0; });
   EXPECT_TRUE(owner_.limits.empty());
   // A refusal that advertises a limit is applied.
-  protocol_.answer.limit = {.kind = notice_kind::kNamed, .rate = 2};
+  protocol_.answer.limit = {.kind = notice_kind::kValid, .rate = 2};
   const auto again = Dispatch(2);
   again->Send(
       "HTTP/1.1 503 Full\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
--- a/unittests/Edge/upstream_feedback_test.cc
+++ b/unittests/Edge/upstream_feedback_test.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr char kAttempt[] = "a1";
-constexpr backoff_notice kBackoff{.kind = notice_kind::kNamed,
+constexpr backoff_notice kBackoff{.kind = notice_kind::kValid,
                                   .time = std::chrono::seconds(3)};
 
 response_attributes Refusal() {
--- a/unittests/Fleet/peer_table_simulation_test.cc
+++ b/unittests/Fleet/peer_table_simulation_test.cc
@@ -87,12 +87,13 @@
     peer_table_simulation fleet({.hosts = kHosts, .loss = loss});
     fleet.Run(kSettleTime + seconds(2));
     size_t unseen = 0;
-    constexpr size_t kLooks = 50;
-    for (size_t i = 0; i < kLooks; ++i) {
+    constexpr size_t kSamples = 50;
+    for (size_t i = 0; i < kSamples; ++i) {
       fleet.Run(milliseconds(100));
       unseen += fleet.CountUnseenPairs();
     }
-    const double share = static_cast<double>(unseen) / kLooks / kHosts / kHosts;
+    const double share =
+        static_cast<double>(unseen) / kSamples / kHosts / kHosts;
     std::printf("%.0f%% loss: %.5f of the pairs not seen alive\n", 100 * loss,
                 share);
     EXPECT_LE(share, loss < 0.1 ? 0.0 : 0.01) << loss;
--- a/unittests/Http1/caller_server_test.cc
+++ b/unittests/Http1/caller_server_test.cc
@@ -16,9 +16,9 @@
 
 class recording_listener : public caller_listener {
  public:
-  void OnCallerGone() override { gone = true; }
+  void OnCallerGone() override { disconnected = true; }
   void OnCallerDrained() override {}
-  bool gone = false;
+  bool disconnected = false;
 };
 
 constexpr size_t kMemoryLimit = 100'000;
@@ -148,7 +148,7 @@
     caller.Send("GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
     ASSERT_TRUE(RunUntil(base_, [&] { return held_ != nullptr; }));
   }
-  EXPECT_TRUE(RunUntil(base_, [&] { return listener_.gone; }));
+  EXPECT_TRUE(RunUntil(base_, [&] { return listener_.disconnected; }));
 }
 
 // Guards against losing the last bytes of a response when a host is restarted.
--- a/unittests/PlatformAdapter/http_protocol_test.cc
+++ b/unittests/PlatformAdapter/http_protocol_test.cc
@@ -129,7 +129,7 @@
   EXPECT_EQ(read({}).kind, notice_kind::kNone);
   for (const auto& [text, seconds] :
        {std::pair("3", 3.0), {"0", 0}, {"0.25", 0.25}, {"86400", 300}}) {
-    EXPECT_EQ(read({text}).kind, notice_kind::kNamed) << text;
+    EXPECT_EQ(read({text}).kind, notice_kind::kValid) << text;
     EXPECT_EQ(read({text}).time, FromSeconds(seconds)) << text;
   }
   EXPECT_EQ(read({"1", "4", "2"}).time, std::chrono::seconds(4));
@@ -165,7 +165,7 @@
   EXPECT_EQ(read({}).kind, notice_kind::kNone);
   for (const auto& [text, rate] :
        {std::pair("1.3", 1.3), {"0", 0}, {"200", 200}, {"1e9", 1e9}}) {
-    EXPECT_EQ(read({text}).kind, notice_kind::kNamed) << text;
+    EXPECT_EQ(read({text}).kind, notice_kind::kValid) << text;
     EXPECT_EQ(read({text}).rate, rate);
   }
   EXPECT_EQ(read({"3", "2", "5"}).rate, 2);
