--- a/include/cuminswitch/Admission/request_quarantine.h
+++ b/include/cuminswitch/Admission/request_quarantine.h
@@ -67,7 +67,7 @@
   void OnStored(time_point now, std::span<const hash128> requests);
   /// Records that \p upstream responded to an attempt sent at \p sent, so it
   /// had not crashed before.
-  void OnAnswered(uint64_t upstream, time_point sent);
+  void OnUpstreamResponse(uint64_t upstream, time_point sent);
   /// Removes expired crashes and quarantines.
   void Expire(time_point now);
 
--- a/include/cuminswitch/Admission/upstream_limits.h
+++ b/include/cuminswitch/Admission/upstream_limits.h
@@ -39,10 +39,10 @@
 
   /// Applies the notice of a response to a request that was sent at \p sent. An
   /// unreadable limit changes nothing.
-  change OnAnswer(time_point now,
-                  uint64_t upstream,
-                  time_point sent,
-                  const limit_notice& notice);
+  change OnResponse(time_point now,
+                    uint64_t upstream,
+                    time_point sent,
+                    const limit_notice& notice);
   /// Applies a peer's update.
   change OnUpdate(time_point now, const limit_update& update);
   /// Removes the limit of an upstream that has restarted.
--- a/include/cuminswitch/ConfigSync/config_sync.h
+++ b/include/cuminswitch/ConfigSync/config_sync.h
@@ -45,9 +45,9 @@
   explicit config_sync(const options& opts);
 
   void OnTick(time_point now, const member_table& members, action_list& out);
-  void OnPlatformAnswer(time_point now,
-                        const platform_reply& reply,
-                        action_list& out);
+  void OnPlatformReply(time_point now,
+                       const platform_reply& reply,
+                       action_list& out);
   /// Handles a peer's advertisement of the generation that it has in force;
   /// requests the configuration from the peer if that is newer.
   void OnPeerGeneration(time_point now,
--- a/include/cuminswitch/Control/configuration_store.h
+++ b/include/cuminswitch/Control/configuration_store.h
@@ -29,7 +29,7 @@
   configuration config;
 };
 
-enum class submission_result : uint8_t {
+enum class submission_status : uint8_t {
   kAccepted,
   /// Another configuration was accepted after the base generation.
   kConflict,
@@ -37,8 +37,8 @@
   kUnknown,
 };
 
-struct submission_answer {
-  submission_result result = submission_result::kUnknown;
+struct submission_result {
+  submission_status status = submission_status::kUnknown;
   /// The generation that was accepted, or that the submission conflicts with.
   generation_number generation = 0;
   /// Items that both operators changed: `before` is the other operator's text,
@@ -62,7 +62,7 @@
   /// is an identifier that the caller chooses and that is unique to this
   /// submission; retrying with the same identifier is idempotent. Throws
   /// `store_error` when nothing was accepted.
-  submission_answer Submit(const configuration& config,
+  submission_result Submit(const configuration& config,
                            generation_number base,
                            const std::string& submission);
 
@@ -76,7 +76,7 @@
   current_head ReadHead();
   configuration ReadChunks(const configuration_head& head);
   void WriteOnce(const std::string& key, const std::string& value);
-  submission_answer MakeConflict(const configuration& config,
+  submission_result MakeConflict(const configuration& config,
                                  generation_number base,
                                  const current_head& current);
   /// Returns the generation, from \p first to \p current, as which
--- a/include/cuminswitch/Core/decision_core.h
+++ b/include/cuminswitch/Core/decision_core.h
@@ -51,7 +51,9 @@
 
  private:
   void Handle(time_point now, const request_arrived& event, action_list& out);
-  void Handle(time_point now, const caller_gone& event, action_list& out);
+  void Handle(time_point now,
+              const caller_disconnected& event,
+              action_list& out);
   void Handle(time_point now,
               const attempt_first_byte& event,
               action_list& out);
--- a/include/cuminswitch/Core/request_router.h
+++ b/include/cuminswitch/Core/request_router.h
@@ -86,7 +86,9 @@
   void OnRequest(time_point now,
                  const request_arrived& event,
                  action_list& out);
-  void OnCallerGone(time_point now, const caller_gone& event, action_list& out);
+  void OnCallerDisconnected(time_point now,
+                            const caller_disconnected& event,
+                            action_list& out);
   void OnFirstByte(time_point now, const attempt_first_byte& event);
   void OnAttemptEnded(time_point now,
                       const attempt_ended& event,
@@ -111,7 +113,7 @@
   void OnUpstreamChanging(const upstream_changing& event);
   /// Whether the running request \p id may be retried at another upstream, and
   /// one accepts requests now.
-  bool CanPlaceElsewhere(time_point now, request_id id);
+  bool CanRetryElsewhere(time_point now, request_id id);
   void OnStartReply(time_point now, const start_reply& reply, action_list& out);
   void OnTick(time_point now, action_list& out);
   /// Sets whether the platform replied to the last call. While it does not, a
@@ -147,7 +149,7 @@
   /// Forgets the rate limit of an upstream that has restarted.
   upstream_limits::change ForgetLimit(uint64_t upstream);
   /// The upstream of \p attempt has begun to respond to it.
-  void OnAttemptAnswered(attempt_id attempt);
+  void OnResponseStarted(attempt_id attempt);
   /// The upstream of \p attempt refused it and requested a backoff of \p time.
   void OnBackoffRequested(time_point now, attempt_id attempt, duration time);
   /// The upstream of \p attempt reported that it is leaving. Returns whether
@@ -212,7 +214,7 @@
     bool may_have_run = false;
     /// Counted in the workspace's requests in flight.
     bool is_counted_in_flight = false;
-    bool caller_gone = false;
+    bool caller_disconnected = false;
     time_point deadline{};
     time_point start_deadline{};
     time_point next_start_request{};
@@ -334,7 +336,7 @@
   static outcome ClassifyRefused(const request& item);
   void ReportFinish(const request& item,
                     outcome result,
-                    const recorded_response& answer,
+                    const recorded_response& response,
                     action_list& out) const;
   void Erase(request_id id);
   std::span<const std::string> AllowedDomains(const request& item) const;
--- a/include/cuminswitch/Daemon/request_relay.h
+++ b/include/cuminswitch/Daemon/request_relay.h
@@ -57,7 +57,7 @@
   void SendLocalResponse(const local_response& action);
   /// The caller closed its connection; the attempt continues until the core
   /// cancels it.
-  void OnCallerGone();
+  void OnCallerDisconnected();
 
   request_id request() const { return options_.request; }
   attempt_id attempt() const { return attempt_; }
--- a/include/cuminswitch/Edge/edge_protocol.h
+++ b/include/cuminswitch/Edge/edge_protocol.h
@@ -92,7 +92,7 @@
   virtual http_headers WriteRequest(
       const message_head& head,
       const dispatch_attributes& attributes) const = 0;
-  virtual response_attributes ReadAnswer(const message_head& head) const = 0;
+  virtual response_attributes ReadResponse(const message_head& head) const = 0;
 };
 
 }  // namespace cuminswitch
--- a/include/cuminswitch/Edge/edge_task.h
+++ b/include/cuminswitch/Edge/edge_task.h
@@ -95,7 +95,7 @@
                            attempt_result result,
                            uint32_t status) override;
   void OnConnectionLost(const endpoint& address) override;
-  bool CanPlaceElsewhere(const request_flow& flow) override;
+  bool CanRetryElsewhere(const request_flow& flow) override;
   void OnFlowEnd(request_flow& flow, const flow_result& end) override;
   const member* FindOwner(shard_number shard) const override;
   size_t CountServing() const override;
--- a/include/cuminswitch/Edge/request_flow.h
+++ b/include/cuminswitch/Edge/request_flow.h
@@ -57,7 +57,7 @@
   virtual void OnConnectionLost(const endpoint& address) = 0;
   /// Whether a request whose upstream is unresponsive can be retried at another
   /// one now.
-  virtual bool CanPlaceElsewhere(const request_flow& flow) = 0;
+  virtual bool CanRetryElsewhere(const request_flow& flow) = 0;
   virtual void OnFlowEnd(request_flow& flow, const flow_result& end) = 0;
 };
 
@@ -121,7 +121,7 @@
   duration longest_event_gap() const { return longest_event_gap_; }
 
  private:
-  void OnCallerGone() override;
+  void OnCallerDisconnected() override;
   void OnCallerDrained() override;
   void OnResponseHead(const message_head& head) override;
   void OnResponseBody(std::string_view data) override;
--- a/include/cuminswitch/Http1/caller_exchange.h
+++ b/include/cuminswitch/Http1/caller_exchange.h
@@ -19,7 +19,7 @@
   virtual ~caller_listener() = default;
   /// The caller closed its connection. The exchange must not be used after this
   /// call returns.
-  virtual void OnCallerGone() = 0;
+  virtual void OnCallerDisconnected() = 0;
   /// All buffered output was written to the caller's socket.
   virtual void OnCallerDrained() = 0;
 };
--- a/include/cuminswitch/Once/shard_journal.h
+++ b/include/cuminswitch/Once/shard_journal.h
@@ -58,10 +58,10 @@
   /// Writes pending starts to the journal once the write interval has passed,
   /// or reads the record back while ownership is uncertain.
   void OnTick(time_point now, uint64_t unix_now, action_list& out);
-  void OnPlatformAnswer(time_point now,
-                        uint64_t unix_now,
-                        const platform_reply& reply,
-                        action_list& out);
+  void OnPlatformReply(time_point now,
+                       uint64_t unix_now,
+                       const platform_reply& reply,
+                       action_list& out);
   void OnStart(time_point now,
                uint64_t unix_now,
                const start_request& request,
--- a/include/cuminswitch/Once/shard_manager.h
+++ b/include/cuminswitch/Once/shard_manager.h
@@ -41,10 +41,10 @@
               uint64_t unix_now,
               const member_table& members,
               action_list& out);
-  void OnPlatformAnswer(time_point now,
-                        uint64_t unix_now,
-                        const platform_reply& reply,
-                        action_list& out);
+  void OnPlatformReply(time_point now,
+                       uint64_t unix_now,
+                       const platform_reply& reply,
+                       action_list& out);
   void OnStart(time_point now,
                uint64_t unix_now,
                const start_request& request,
--- a/include/cuminswitch/Platform/platform_client.h
+++ b/include/cuminswitch/Platform/platform_client.h
@@ -14,7 +14,7 @@
 namespace cuminswitch {
 
 /// Makes calls on one event loop. A call that gets no complete response in time
-/// ends with `kNoAnswer`. It is never retried here, since only the caller knows
+/// ends with `kNoReply`. It is never retried here, since only the caller knows
 /// whether that is safe.
 class platform_client {
  public:
--- a/include/cuminswitch/Protocol/core_event.h
+++ b/include/cuminswitch/Protocol/core_event.h
@@ -138,7 +138,7 @@
 };
 
 /// The caller closed its connection.
-struct caller_gone {
+struct caller_disconnected {
   request_id request = 0;
 };
 
@@ -161,15 +161,15 @@
   bool failed_in_run = false;
   /// The connection was lost before the response was complete, as happens when
   /// the upstream crashes.
-  bool broke_off = false;
+  bool connection_lost = false;
   /// Whether any part of this attempt's response was sent to the caller.
-  bool answer_begun = false;
+  bool response_started = false;
   /// Exact token counts from the response; 0 if it carried none.
   uint32_t prompt_tokens = 0;
   uint32_t cached_tokens = 0;
   /// The response to record, if it is complete, short enough and the request
   /// may be repeated by its caller.
-  recorded_response answer;
+  recorded_response response;
 };
 
 /// A model that an engine has loaded.
@@ -208,7 +208,7 @@
 struct stop_requested {};
 
 using core_event = std::variant<request_arrived,
-                                caller_gone,
+                                caller_disconnected,
                                 attempt_first_byte,
                                 attempt_ended,
                                 upstream_report,
--- a/include/cuminswitch/Protocol/peer_message.h
+++ b/include/cuminswitch/Protocol/peer_message.h
@@ -110,10 +110,10 @@
 
 struct start_reply {
   request_id request = 0;
-  start_result verdict = start_result::kRefused;
+  start_result result = start_result::kRefused;
   epoch_number epoch = 0;
   uint32_t retry_after_seconds = 0;
-  recorded_response answer;
+  recorded_response response;
 };
 
 /// Reports to a shard's owner how a started request ended.
@@ -121,7 +121,7 @@
   shard_number shard = 0;
   key_hash key;
   outcome result = outcome::kUnknown;
-  recorded_response answer;
+  recorded_response response;
 };
 
 /// Releases an unused grant: nothing ran, and nothing will run under it.
--- a/include/cuminswitch/Protocol/platform_call.h
+++ b/include/cuminswitch/Protocol/platform_call.h
@@ -53,7 +53,7 @@
   /// A compare-and-swap found another revision; nothing was written.
   kConflict,
   /// No reply was received: a write may or may not have taken effect.
-  kNoAnswer,
+  kNoReply,
 };
 
 /// One entry of the platform's list of hosts, which lags.
@@ -65,7 +65,7 @@
 
 struct platform_reply {
   call_tag tag;
-  platform_status status = platform_status::kNoAnswer;
+  platform_status status = platform_status::kNoReply;
   revision_number revision = 0;
   std::string value;
   std::vector<listed_host> hosts;
--- a/include/cuminswitch/Routing/replica.h
+++ b/include/cuminswitch/Routing/replica.h
@@ -77,7 +77,7 @@
   time_point backoff_until{};
   /// A response of the replica announced that it is leaving. The upstream list
   /// may say so later or not at all.
-  bool says_leaving = false;
+  bool announced_leaving = false;
   /// Time between two of this daemon's send slots at the replica.
   duration send_interval{0};
   /// The replica is ejected until this time and gets no attempts.
--- a/include/cuminswitch/Routing/replica_table.h
+++ b/include/cuminswitch/Routing/replica_table.h
@@ -84,7 +84,7 @@
                   double compute_seconds);
   /// Called when an attempt got a response. \p failed says whether the request
   /// failed at the upstream.
-  void OnAnswered(time_point now, replica_index index, bool failed);
+  void OnAttemptResponse(time_point now, replica_index index, bool failed);
   /// Applies the load reported in a response, which is more recent than any
   /// report.
   void OnLoad(time_point now, const upstream_load& load);
--- a/lib/Admission/request_quarantine.cc
+++ b/lib/Admission/request_quarantine.cc
@@ -236,7 +236,8 @@
   }
 }
 
-void request_quarantine::OnAnswered(uint64_t upstream, time_point sent) {
+void request_quarantine::OnUpstreamResponse(uint64_t upstream,
+                                            time_point sent) {
   // Called for each response; almost always the upstream has no crash.
   if (!crashed_.contains(upstream)) {
     return;
--- a/lib/Admission/upstream_limits.cc
+++ b/lib/Admission/upstream_limits.cc
@@ -66,10 +66,11 @@
   return change::kEnded;
 }
 
-upstream_limits::change upstream_limits::OnAnswer(time_point now,
-                                                  uint64_t upstream,
-                                                  time_point sent,
-                                                  const limit_notice& notice) {
+upstream_limits::change upstream_limits::OnResponse(
+    time_point now,
+    uint64_t upstream,
+    time_point sent,
+    const limit_notice& notice) {
   switch (notice.kind) {
     case notice_kind::kValid:
       return ApplyLimit(now,
--- a/lib/ConfigSync/config_sync.cc
+++ b/lib/ConfigSync/config_sync.cc
@@ -67,7 +67,7 @@
                          const platform_reply& reply,
                          action_list& out) {
   watching_ = false;
-  if (reply.status == platform_status::kNoAnswer) {
+  if (reply.status == platform_status::kNoReply) {
     BackOff(now);
     return;
   }
@@ -83,9 +83,9 @@
   AdoptIfComplete(out);
 }
 
-void config_sync::OnPlatformAnswer(time_point now,
-                                   const platform_reply& reply,
-                                   action_list& out) {
+void config_sync::OnPlatformReply(time_point now,
+                                  const platform_reply& reply,
+                                  action_list& out) {
   if (reply.tag.owner == call_owner::kConfigurationHead) {
     OnHead(now, reply, out);
     return;
--- a/lib/Control/configuration_store.cc
+++ b/lib/Control/configuration_store.cc
@@ -82,20 +82,20 @@
   // retried, and a conflict means that the value is already stored.
   for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     const platform_reply reply = platform_.CompareAndSwap(key, value, 0);
-    if (reply.status != platform_status::kNoAnswer) {
+    if (reply.status != platform_status::kNoReply) {
       return;
     }
   }
   throw store_error("the platform does not answer; nothing was accepted");
 }
 
-submission_answer configuration_store::MakeConflict(
+submission_result configuration_store::MakeConflict(
     const configuration& config,
     generation_number base,
     const current_head& current) {
   const stored_configuration old = FetchGeneration(base);
   return {
-      .result = submission_result::kConflict,
+      .status = submission_status::kConflict,
       .generation = current.head.generation,
       .conflicts = FindConflicts(old.config, config, ReadChunks(current.head))};
 }
@@ -118,12 +118,12 @@
   return std::nullopt;
 }
 
-submission_answer configuration_store::Submit(const configuration& config,
+submission_result configuration_store::Submit(const configuration& config,
                                               generation_number base,
                                               const std::string& submission) {
   current_head current = ReadHead();
   if (const auto accepted = FindSubmission(current, base + 1, submission)) {
-    return {.result = submission_result::kAccepted, .generation = *accepted};
+    return {.status = submission_status::kAccepted, .generation = *accepted};
   }
   if (current.head.generation != base) {
     return MakeConflict(config, base, current);
@@ -143,10 +143,10 @@
         std::string(kConfigurationHeadKey), EncodeConfigurationHead(next),
         current.revision);
     if (reply.status == platform_status::kOk) {
-      return {.result = submission_result::kAccepted,
+      return {.status = submission_status::kAccepted,
               .generation = next.generation};
     }
-    if (reply.status == platform_status::kNoAnswer) {
+    if (reply.status == platform_status::kNoReply) {
       // The write may have taken effect. Retrying it resolves this: either it
       // is accepted now, or the conflict shows whose submission is in force.
       continue;
@@ -154,11 +154,11 @@
     current = ReadHead();
     if (const auto accepted =
             FindSubmission(current, next.generation, submission)) {
-      return {.result = submission_result::kAccepted, .generation = *accepted};
+      return {.status = submission_status::kAccepted, .generation = *accepted};
     }
     return MakeConflict(config, base, current);
   }
-  return {.result = submission_result::kUnknown, .generation = next.generation};
+  return {.status = submission_status::kUnknown, .generation = next.generation};
 }
 
 }  // namespace cuminswitch
--- a/lib/Core/decision_core.cc
+++ b/lib/Core/decision_core.cc
@@ -100,9 +100,9 @@
 }
 
 void decision_core::Handle(time_point now,
-                           const caller_gone& event,
+                           const caller_disconnected& event,
                            action_list& out) {
-  router_.OnCallerGone(now, event, out);
+  router_.OnCallerDisconnected(now, event, out);
 }
 
 void decision_core::Handle(time_point now,
@@ -133,14 +133,14 @@
 void decision_core::Handle(time_point now,
                            const platform_reply& event,
                            action_list& out) {
-  router_.SetPlatformReachable(event.status != platform_status::kNoAnswer);
+  router_.SetPlatformReachable(event.status != platform_status::kNoReply);
   switch (event.tag.owner) {
     case call_owner::kConfigurationHead:
     case call_owner::kConfigurationChunk:
-      config_.OnPlatformAnswer(now, event, out);
+      config_.OnPlatformReply(now, event, out);
       return;
     case call_owner::kShard:
-      shards_.OnPlatformAnswer(now, UnixNow(now), event, out);
+      shards_.OnPlatformReply(now, UnixNow(now), event, out);
       return;
     case call_owner::kHostList:
       if (event.status == platform_status::kOk) {
@@ -181,10 +181,10 @@
   }
   router_.CloseAdmission();
   shards_.ReleaseAll(UnixNow(now), out);
-  const bool handed_back = shards_.OwnedShards().empty();
+  const bool shards_released = shards_.OwnedShards().empty();
   const bool waited =
       now - stop_since_ >= options_.linger + kShardReleaseTimeout;
-  if (router_.IsIdle() && (handed_back || waited)) {
+  if (router_.IsIdle() && (shards_released || waited)) {
     stop_announced_ = true;
     out.push_back(stop_ready{});
   }
--- a/lib/Core/request_attempts.cc
+++ b/lib/Core/request_attempts.cc
@@ -248,18 +248,18 @@
     --item.runs;
   }
   if (event.result == outcome::kAnswered) {
-    replicas_.OnAnswered(now, done.index, event.failed_in_run);
+    replicas_.OnAttemptResponse(now, done.index, event.failed_in_run);
     LearnFromResponse(now, item, done, event);
-    ReportFinish(item, outcome::kAnswered, event.answer, out);
+    ReportFinish(item, outcome::kAnswered, event.response, out);
     ++counters_.answered;
     Erase(id);
-  } else if (item.caller_gone && !item.once) {
+  } else if (item.caller_disconnected && !item.once) {
     Erase(id);
   } else {
     if (event.refused_busy) {
       replicas_.OnBusy(now, done.index);
     } else if (event.failed_in_run) {
-      replicas_.OnAnswered(now, done.index, true);
+      replicas_.OnAttemptResponse(now, done.index, true);
     } else {
       replicas_.OnFailure(now, done.index);
     }
@@ -280,16 +280,16 @@
   if (digest == hash128()) {
     return;
   }
-  if (event.broke_off) {
+  if (event.connection_lost) {
     quarantine_.OnCrash(now, digest, done.upstream_start, done.sent);
   } else if (event.result == outcome::kAnswered) {
     quarantine_.OnCompleted(now, digest, done.sent);
   }
 }
 
-void request_router::OnAttemptAnswered(attempt_id attempt) {
+void request_router::OnResponseStarted(attempt_id attempt) {
   if (const auto* running = FindAttempt(attempt)) {
-    quarantine_.OnAnswered(running->upstream_start, running->sent);
+    quarantine_.OnUpstreamResponse(running->upstream_start, running->sent);
   }
 }
 
@@ -302,7 +302,7 @@
   return item.repeatable && (limit == 0 || item.runs < limit);
 }
 
-bool request_router::CanPlaceElsewhere(time_point now, request_id id) {
+bool request_router::CanRetryElsewhere(time_point now, request_id id) {
   const auto found = requests_.find(id);
   if (found == requests_.end() || !found->second.running) {
     return false;
@@ -329,7 +329,7 @@
                            action_list& out) {
   const request_id id = item.info.request;
   const bool is_safe = event.result == outcome::kNotRun || MayRepeat(item);
-  const bool is_useful = !event.answer_begun && now < item.deadline;
+  const bool is_useful = !event.response_started && now < item.deadline;
   if (!is_safe || !is_useful) {
     Refuse(id,
            {.status = status_code::kBadGateway,
@@ -383,7 +383,7 @@
                    {.attempt = id,
                     .result = outcome::kUnknown,
                     .failed_in_run = true,
-                    .answer = {}},
+                    .response = {}},
                    out);
   }
 }
--- a/lib/Core/request_notices.cc
+++ b/lib/Core/request_notices.cc
@@ -38,7 +38,7 @@
 
 bool request_router::OnUpstreamLeaving(attempt_id attempt) {
   replica* item = FindReplica(attempt);
-  return item != nullptr && !std::exchange(item->says_leaving, true);
+  return item != nullptr && !std::exchange(item->announced_leaving, true);
 }
 
 bool request_router::RefuseIfClosed(time_point now,
--- a/lib/Core/request_permits.cc
+++ b/lib/Core/request_permits.cc
@@ -107,7 +107,7 @@
                                                 uint64_t upstream,
                                                 time_point sent,
                                                 const limit_notice& notice) {
-  const auto what = limits_.OnAnswer(now, upstream, sent, notice);
+  const auto what = limits_.OnResponse(now, upstream, sent, notice);
   OnLimitChange(upstream, what);
   return what;
 }
--- a/lib/Core/request_refusals.cc
+++ b/lib/Core/request_refusals.cc
@@ -126,9 +126,9 @@
                             action_list& out) {
   request& item = requests_.at(id);
   const outcome result = ClassifyRefused(item);
-  const bool asked_for_start =
+  const bool requested_start =
       item.once && item.config != nullptr && item.workspace != nullptr;
-  if (asked_for_start && !item.may_have_run) {
+  if (requested_start && !item.may_have_run) {
     // Nothing ran under the key, and nothing will, since the request ends here.
     ReleaseStart(item, out);
     abandoned_starts_[id] = {.shard = static_cast<shard_number>(
--- a/lib/Core/request_router.cc
+++ b/lib/Core/request_router.cc
@@ -332,9 +332,9 @@
   });
 }
 
-void request_router::OnCallerGone(time_point now,
-                                  const caller_gone& event,
-                                  action_list& out) {
+void request_router::OnCallerDisconnected(time_point now,
+                                          const caller_disconnected& event,
+                                          action_list& out) {
   const auto found = requests_.find(event.request);
   if (found == requests_.end()) {
     return;
@@ -345,7 +345,7 @@
     Refuse(event.request, {.status = 499, .message = "the caller left"}, out);
     return;
   }
-  item.caller_gone = true;
+  item.caller_disconnected = true;
   if (item.once) {
     // It continues, and its response is recorded for a repeated request.
     return;
@@ -421,7 +421,7 @@
     status.upstreams.push_back(
         {.name = item.spec.name,
          .reachable = item.reachable,
-         .leaving = item.leaving || item.spec.leaving || item.says_leaving,
+         .leaving = item.leaving || item.spec.leaving || item.announced_leaving,
          .reported = item.reported,
          .incarnation = item.incarnation,
          .in_flight = item.in_flight,
--- a/lib/Core/request_starts.cc
+++ b/lib/Core/request_starts.cc
@@ -75,7 +75,7 @@
     // used must never be released, so only those of abandoned starts are.
     const auto abandoned = abandoned_starts_.find(reply.request);
     if (abandoned != abandoned_starts_.end() &&
-        reply.verdict == start_result::kGranted) {
+        reply.result == start_result::kGranted) {
       if (const member* owner = members_.FindOwner(abandoned->second.shard)) {
         out.push_back(
             send_peer{.to = owner->peer_address, .message = abandoned->second});
@@ -84,7 +84,7 @@
     return;
   }
   request& item = found->second;
-  switch (reply.verdict) {
+  switch (reply.result) {
     case start_result::kGranted:
       item.epoch = reply.epoch;
       Admit(now, item, out);
@@ -124,10 +124,10 @@
     case start_result::kAnswered:
       out.push_back(local_response{.request = reply.request,
                                    .result = outcome::kAnswered,
-                                   .status = reply.answer.status,
+                                   .status = reply.response.status,
                                    .retry_after_seconds = 0,
                                    .message = {},
-                                   .recorded = reply.answer});
+                                   .recorded = reply.response});
       ++counters_.answered;
       Erase(reply.request);
       return;
@@ -136,7 +136,7 @@
 
 void request_router::ReportFinish(const request& item,
                                   outcome result,
-                                  const recorded_response& answer,
+                                  const recorded_response& response,
                                   action_list& out) const {
   if (!item.once || item.epoch == 0) {
     return;
@@ -147,7 +147,7 @@
                             .message = finish_report{.shard = shard,
                                                      .key = item.key,
                                                      .result = result,
-                                                     .answer = answer}});
+                                                     .response = response}});
   }
 }
 
--- a/lib/Daemon/gateway_task.cc
+++ b/lib/Daemon/gateway_task.cc
@@ -409,8 +409,8 @@
   relays_[id] = std::make_unique<request_relay>(std::move(relay), *this);
   exchange->SetOnClosed([this, id] {
     if (request_relay* found = FindRelay(id)) {
-      found->OnCallerGone();
-      OnRelayEvent(caller_gone{.request = id});
+      found->OnCallerDisconnected();
+      OnRelayEvent(caller_disconnected{.request = id});
     }
   });
   OnRelayEvent(std::move(event));
--- a/lib/Daemon/request_relay.cc
+++ b/lib/Daemon/request_relay.cc
@@ -138,13 +138,13 @@
       is_stream_ ? reader_.usage() : ReadUsage(buffered_body_);
   attempt_ended event{.attempt = attempt_,
                       .result = outcome::kAnswered,
-                      .answer_begun = true,
+                      .response_started = true,
                       .prompt_tokens = usage.prompt_tokens,
                       .cached_tokens = usage.cached_tokens};
   if (options_.record_response && is_record_complete_) {
-    event.answer = {.status = status_,
-                    .content_type = content_type_,
-                    .body = recorded_body_};
+    event.response = {.status = status_,
+                      .content_type = content_type_,
+                      .body = recorded_body_};
   }
   return event;
 }
@@ -159,8 +159,8 @@
   // the truncated response for a complete one, the core sends an error event.
   ReportEnd({.attempt = attempt_,
              .result = outcome::kUnknown,
-             .broke_off = result == http_result::kBroken,
-             .answer_begun = options_.caller->HasBegun()});
+             .connection_lost = result == http_result::kBroken,
+             .response_started = options_.caller->HasBegun()});
 }
 
 void request_relay::EndBuffered(http_result result) {
@@ -172,7 +172,7 @@
   if (result == http_result::kBroken || body_too_long_) {
     ReportEnd({.attempt = attempt_,
                .result = outcome::kUnknown,
-               .broke_off = result == http_result::kBroken});
+               .connection_lost = result == http_result::kBroken});
     return;
   }
   // Upstreams send exactly these statuses, and no others, for a request that
@@ -204,7 +204,7 @@
   }
 }
 
-void request_relay::OnCallerGone() {
+void request_relay::OnCallerDisconnected() {
   if (call_ != nullptr) {
     // Reading may have been paused because the caller was slow.
     call_->ResumeReading();
--- a/lib/Edge/edge_feedback.cc
+++ b/lib/Edge/edge_feedback.cc
@@ -22,7 +22,7 @@
                             .waiting = feedback.load->waiting});
   }
   if (feedback.has_run) {
-    router_.OnAttemptAnswered(flow.attempt());
+    router_.OnResponseStarted(flow.attempt());
   }
   if (feedback.limit) {
     ApplyLimit(flow, *feedback.limit);
--- a/lib/Edge/edge_task.cc
+++ b/lib/Edge/edge_task.cc
@@ -157,8 +157,9 @@
   } else if (const auto* ended = std::get_if<attempt_ended>(&event)) {
     router_.OnAttemptEnded(now, *ended, actions);
     LogQuarantines();
-  } else if (const auto* disconnected = std::get_if<caller_gone>(&event)) {
-    router_.OnCallerGone(now, *disconnected, actions);
+  } else if (const auto* disconnected =
+                 std::get_if<caller_disconnected>(&event)) {
+    router_.OnCallerDisconnected(now, *disconnected, actions);
   }
   Perform(now, actions);
 }
@@ -195,8 +196,8 @@
   if (flow == nullptr || flow->has_ended()) {
     ForwardToRouter(now, attempt_ended{.attempt = action.attempt,
                                        .result = outcome::kNotRun,
-                                       .answer_begun = true,
-                                       .answer = {}});
+                                       .response_started = true,
+                                       .response = {}});
     return;
   }
   with_.log.Write(log_class::kRequest,
@@ -219,8 +220,8 @@
   pool_.Forget(address);
 }
 
-bool edge_task::CanPlaceElsewhere(const request_flow& flow) {
-  return router_.CanPlaceElsewhere(ReadBootClock(), flow.id());
+bool edge_task::CanRetryElsewhere(const request_flow& flow) {
+  return router_.CanRetryElsewhere(ReadBootClock(), flow.id());
 }
 
 /// Returns what made a response late; empty if it was not late.
--- a/lib/Edge/request_flow.cc
+++ b/lib/Edge/request_flow.cc
@@ -129,7 +129,7 @@
   if (has_ended_ || call_ == nullptr || is_paused_) {
     return;
   }
-  if (!with_.owner.CanPlaceElsewhere(*this)) {
+  if (!with_.owner.CanRetryElsewhere(*this)) {
     // Without another upstream the request would only fail, and its response
     // may still arrive.
     stall_timer_.Start(StallTimeout());
@@ -148,7 +148,7 @@
 
 void request_flow::OnResponseHead(const message_head& head) {
   response_.head = head;
-  response_.attributes = with_.protocol.ReadAnswer(head);
+  response_.attributes = with_.protocol.ReadResponse(head);
   with_.owner.OnFlowFeedback(
       *this, SelectFeedback(response_.attributes, options_.request.attempt));
 }
@@ -311,9 +311,9 @@
                                     result == attempt_result::kMismatch,
                     .unreachable = result == attempt_result::kNotConnected,
                     .failed_in_run = result == attempt_result::kFailure,
-                    .broke_off = result == attempt_result::kBroken,
-                    .answer_begun = is_final,
-                    .answer = {}});
+                    .connection_lost = result == attempt_result::kBroken,
+                    .response_started = is_final,
+                    .response = {}});
 }
 
 void request_flow::SendCompleteResponse() {
@@ -417,19 +417,19 @@
     with_.owner.OnFlowEvent(attempt_ended{.attempt = attempt_,
                                           .result = outcome::kUnknown,
                                           .failed_in_run = true,
-                                          .answer_begun = true,
-                                          .answer = {}});
+                                          .response_started = true,
+                                          .response = {}});
   } else {
-    with_.owner.OnFlowEvent(caller_gone{.request = options_.id});
+    with_.owner.OnFlowEvent(caller_disconnected{.request = options_.id});
   }
 }
 
-void request_flow::OnCallerGone() {
+void request_flow::OnCallerDisconnected() {
   // The upstream sees its connection close and stops executing the request.
   call_.reset();
   options_.exchange = nullptr;
   End({.result = outcome::kUnknown, .status = 0, .reason = "caller_gone"});
-  with_.owner.OnFlowEvent(caller_gone{.request = options_.id});
+  with_.owner.OnFlowEvent(caller_disconnected{.request = options_.id});
 }
 
 void request_flow::End(const flow_result& end) {
--- a/lib/Http1/caller_connection.cc
+++ b/lib/Http1/caller_connection.cc
@@ -292,7 +292,7 @@
   timer_.Cancel();
   bufferevent_disable(stream_, EV_READ | EV_WRITE);
   if (caller_listener* listener = std::exchange(listener_, nullptr)) {
-    listener->OnCallerGone();
+    listener->OnCallerDisconnected();
   }
   server_.Drop(this);
 }
--- a/lib/Once/shard_journal.cc
+++ b/lib/Once/shard_journal.cc
@@ -120,10 +120,10 @@
       .to = requester.reply_to,
       .message =
           start_reply{.request = requester.request,
-                      .verdict = result,
+                      .result = result,
                       .epoch = epoch_,
                       .retry_after_seconds = refused ? kRefusedRetrySeconds : 0,
-                      .answer = response}});
+                      .response = response}});
 }
 
 void shard_journal::ReplyToRepeatedStart(time_point now,
@@ -235,10 +235,10 @@
   Commit(now, unix_now, out);
 }
 
-void shard_journal::OnPlatformAnswer(time_point now,
-                                     uint64_t unix_now,
-                                     const platform_reply& reply,
-                                     action_list& out) {
+void shard_journal::OnPlatformReply(time_point now,
+                                    uint64_t unix_now,
+                                    const platform_reply& reply,
+                                    action_list& out) {
   if (reply.tag.serial != call_serial_ || call_ == pending_call::kNone) {
     return;
   }
@@ -270,7 +270,7 @@
 }
 
 void shard_journal::OnClaimRead(const platform_reply& reply, action_list& out) {
-  if (reply.status == platform_status::kNoAnswer) {
+  if (reply.status == platform_status::kNoReply) {
     state_ = ownership::kNone;
     return;
   }
@@ -291,7 +291,7 @@
       revision_ = reply.revision;
       state_ = ownership::kOwned;
       return;
-    case platform_status::kNoAnswer:
+    case platform_status::kNoReply:
       state_ = ownership::kUncertain;
       return;
     case platform_status::kConflict:
@@ -309,7 +309,7 @@
       revision_ = reply.revision;
       GrantCommitted(out);
       return;
-    case platform_status::kNoAnswer:
+    case platform_status::kNoReply:
       // The write may or may not have taken effect. Nothing was granted, so a
       // refusal is correct either way; the record is read back before the next
       // write.
@@ -331,7 +331,7 @@
 void shard_journal::OnReadBack(time_point now,
                                const platform_reply& reply,
                                action_list& out) {
-  if (reply.status == platform_status::kNoAnswer) {
+  if (reply.status == platform_status::kNoReply) {
     next_read_back_ = now + kReadBackInterval;
     RefusePending(out);
     return;
@@ -396,12 +396,12 @@
     return;
   }
   const bool replayable =
-      report.result == outcome::kAnswered && report.answer.status != 0 &&
-      report.answer.body.size() <= options_.max_response_size;
+      report.result == outcome::kAnswered && report.response.status != 0 &&
+      report.response.body.size() <= options_.max_response_size;
   item.state =
       replayable ? entry_state::kAnswered : entry_state::kResultUnknown;
   if (replayable) {
-    item.response = report.answer;
+    item.response = report.response;
   }
 }
 
--- a/lib/Once/shard_manager.cc
+++ b/lib/Once/shard_manager.cc
@@ -125,12 +125,12 @@
   }
 }
 
-void shard_manager::OnPlatformAnswer(time_point now,
-                                     uint64_t unix_now,
-                                     const platform_reply& reply,
-                                     action_list& out) {
+void shard_manager::OnPlatformReply(time_point now,
+                                    uint64_t unix_now,
+                                    const platform_reply& reply,
+                                    action_list& out) {
   if (reply.tag.shard < slots_.size()) {
-    slots_[reply.tag.shard].journal.OnPlatformAnswer(now, unix_now, reply, out);
+    slots_[reply.tag.shard].journal.OnPlatformReply(now, unix_now, reply, out);
   }
 }
 
--- a/lib/Platform/platform_client.cc
+++ b/lib/Platform/platform_client.cc
@@ -92,7 +92,7 @@
   void OnEnd(http_result result) override {
     reply_.status = result == http_result::kComplete
                         ? ReadStatus()
-                        : platform_status::kNoAnswer;
+                        : platform_status::kNoReply;
     if (reply_.status == platform_status::kOk &&
         operation_ == platform_operation::kListHosts) {
       reply_.hosts = ParseHosts(reply_.value);
@@ -118,7 +118,7 @@
       default:
         // After an error of the service it is unknown whether a write was
         // applied.
-        return platform_status::kNoAnswer;
+        return platform_status::kNoReply;
     }
   }
 
--- a/lib/Routing/replica_eligibility.cc
+++ b/lib/Routing/replica_eligibility.cc
@@ -135,7 +135,8 @@
         failure_domains.empty() ||
         std::find(failure_domains.begin(), failure_domains.end(),
                   item.spec.failure_domain) != failure_domains.end();
-    if (!allowed || item.spec.leaving || item.leaving || item.says_leaving) {
+    if (!allowed || item.spec.leaving || item.leaving ||
+        item.announced_leaving) {
       continue;
     }
     // An engine that has not yet reported the configured version gets no
--- a/lib/Routing/replica_learning.cc
+++ b/lib/Routing/replica_learning.cc
@@ -38,9 +38,9 @@
 static constexpr double kMinPrefillRate = 100;
 static constexpr double kMaxPrefillRate = 1e7;
 
-void replica_table::OnAnswered(time_point now,
-                               replica_index index,
-                               bool failed) {
+void replica_table::OnAttemptResponse(time_point now,
+                                      replica_index index,
+                                      bool failed) {
   replica& item = replicas_[index];
   item.failures_in_row = 0;
   item.responses.OnResponse(now, failed);
--- a/lib/Routing/replica_table.cc
+++ b/lib/Routing/replica_table.cc
@@ -193,7 +193,7 @@
   item.failures_in_row = 0;
   item.ejected_until = {};
   item.backoff_until = {};
-  item.says_leaving = false;
+  item.announced_leaving = false;
   item.responses.Reset();
 }
 
--- a/lib/Wire/peer_codec.cc
+++ b/lib/Wire/peer_codec.cc
@@ -126,21 +126,21 @@
   }
 
   wire_body operator()(const start_reply& message) const {
-    const auto answer = ToWire(builder, message.answer);
+    const auto response = ToWire(builder, message.response);
     return {wire::Body_StartReply,
             wire::CreateStartReply(
-                builder, message.request, static_cast<uint8_t>(message.verdict),
-                message.epoch, message.retry_after_seconds, answer)
+                builder, message.request, static_cast<uint8_t>(message.result),
+                message.epoch, message.retry_after_seconds, response)
                 .Union()};
   }
 
   wire_body operator()(const finish_report& message) const {
-    const auto answer = ToWire(builder, message.answer);
+    const auto response = ToWire(builder, message.response);
     const wire::Hash128 key = ToWire(message.key);
     return {
         wire::Body_FinishReport,
         wire::CreateFinishReport(builder, message.shard, &key,
-                                 static_cast<uint8_t>(message.result), answer)
+                                 static_cast<uint8_t>(message.result), response)
             .Union()};
   }
 
@@ -277,17 +277,17 @@
 
 start_reply DecodeStartReply(const wire::StartReply& value) {
   return {.request = value.request(),
-          .verdict = EnumFromWire(value.verdict(), start_result::kNotOwner),
+          .result = EnumFromWire(value.verdict(), start_result::kNotOwner),
           .epoch = value.epoch(),
           .retry_after_seconds = value.retry_after_seconds(),
-          .answer = FromWire(value.answer())};
+          .response = FromWire(value.answer())};
 }
 
 finish_report DecodeFinishReport(const wire::FinishReport& value) {
   return {.shard = value.shard(),
           .key = FromWire(value.key()),
           .result = EnumFromWire(value.result(), outcome::kUnknown),
-          .answer = FromWire(value.answer())};
+          .response = FromWire(value.answer())};
 }
 
 release_report DecodeReleaseReport(const wire::ReleaseReport& value) {
--- a/test/Scenario/fake_platform.cc
+++ b/test/Scenario/fake_platform.cc
@@ -9,33 +9,33 @@
 
 platform_reply fake_platform::Apply(const platform_call& call) {
   ++calls_;
-  platform_reply answer{.tag = call.tag};
+  platform_reply reply{.tag = call.tag};
   if (call.operation == platform_operation::kListHosts) {
-    answer.status = platform_status::kOk;
-    answer.hosts = hosts_;
-    return answer;
+    reply.status = platform_status::kOk;
+    reply.hosts = hosts_;
+    return reply;
   }
   const revision_number present = RevisionOf(call.key);
   if (call.operation == platform_operation::kCompareAndSwap) {
     ++writes_;
     if (present != call.expected) {
-      answer.status = platform_status::kConflict;
-      answer.revision = present;
-      return answer;
+      reply.status = platform_status::kConflict;
+      reply.revision = present;
+      return reply;
     }
     values_[call.key] = {.value = call.value, .revision = ++last_revision_};
-    answer.status = platform_status::kOk;
-    answer.revision = last_revision_;
-    return answer;
+    reply.status = platform_status::kOk;
+    reply.revision = last_revision_;
+    return reply;
   }
   if (present == 0) {
-    answer.status = platform_status::kAbsent;
-    return answer;
+    reply.status = platform_status::kAbsent;
+    return reply;
   }
-  answer.status = platform_status::kOk;
-  answer.revision = present;
-  answer.value = values_[call.key].value;
-  return answer;
+  reply.status = platform_status::kOk;
+  reply.revision = present;
+  reply.value = values_[call.key].value;
+  return reply;
 }
 
 platform_reply fake_platform::Read(const std::string& key) {
@@ -45,16 +45,16 @@
 platform_reply fake_platform::CompareAndSwap(const std::string& key,
                                              const std::string& value,
                                              revision_number expected) {
-  platform_reply answer =
+  platform_reply reply =
       Apply({.operation = platform_operation::kCompareAndSwap,
              .key = key,
              .value = value,
              .expected = expected});
-  if (lose_operator_replies_ > 0 && answer.status == platform_status::kOk) {
+  if (lose_operator_replies_ > 0 && reply.status == platform_status::kOk) {
     --lose_operator_replies_;
-    answer.status = platform_status::kNoAnswer;
+    reply.status = platform_status::kNoReply;
   }
-  return answer;
+  return reply;
 }
 
 }  // namespace cuminswitch
--- a/test/Scenario/script.cc
+++ b/test/Scenario/script.cc
@@ -70,10 +70,10 @@
       std::stoull(Option(line, "base").value_or(std::to_string(submissions_)));
   const std::string id =
       Option(line, "as").value_or("submission-" + std::to_string(base));
-  const submission_answer answer =
+  const submission_result result =
       store.Submit(w.MakeConfiguration(), base, id);
-  if (answer.result == submission_result::kAccepted) {
-    submissions_ = std::max<size_t>(submissions_, answer.generation);
+  if (result.status == submission_status::kAccepted) {
+    submissions_ = std::max<size_t>(submissions_, result.generation);
     return;
   }
   if (std::find(line.begin(), line.end(), "conflicts") == line.end()) {
@@ -165,7 +165,7 @@
     return item.retry_after > 0;
   }
   if (what == "answer") {
-    return item.answer == Join({condition.begin() + 2, condition.end()});
+    return item.response == Join({condition.begin() + 2, condition.end()});
   }
   throw script_error("unknown condition " + what);
 }
--- a/test/Scenario/world.cc
+++ b/test/Scenario/world.cc
@@ -244,13 +244,13 @@
     ServeWatch(name, incarnation, call, now_ + kWatchTimeout);
     return;
   }
-  const platform_reply no_answer{.tag = call.tag};
+  const platform_reply no_reply{.tag = call.tag};
   if (platform_down_ || IsCut(name, kPlatformName)) {
-    FeedLater(kPlatformTimeout, name, incarnation, no_answer);
+    FeedLater(kPlatformTimeout, name, incarnation, no_reply);
     return;
   }
-  After(platform_delay_ / 2, [this, name, incarnation, call, no_answer] {
-    platform_reply answer = platform_.Apply(call);
+  After(platform_delay_ / 2, [this, name, incarnation, call, no_reply] {
+    platform_reply reply = platform_.Apply(call);
     const bool is_write = call.operation == platform_operation::kCompareAndSwap;
     const bool lost = (is_write && lose_replies_ > 0) || platform_down_ ||
                       IsCut(name, kPlatformName) ||
@@ -259,7 +259,7 @@
       --lose_replies_;
     }
     FeedLater(lost ? kPlatformTimeout : platform_delay_ / 2, name, incarnation,
-              lost ? no_answer : answer);
+              lost ? no_reply : reply);
   });
 }
 
@@ -403,8 +403,8 @@
           if (item.incarnation == upstream_incarnation) {
             --item.in_flight;
             done.result = outcome::kAnswered;
-            done.answer_begun = true;
-            done.answer = {.status = kOk, .body = "answer to " + request};
+            done.response_started = true;
+            done.response = {.status = kOk, .body = "answer to " + request};
           }
           EndAttempt(name, incarnation, done, request);
         });
@@ -422,7 +422,7 @@
     if (host.attempts.erase(event.attempt) != 0 &&
         event.result == outcome::kAnswered) {
       EndRequest(requests_.at(request), outcome::kAnswered, kOk, 0,
-                 event.answer.body);
+                 event.response.body);
     }
     FeedLater(duration{0}, name, incarnation, event);
   });
@@ -432,7 +432,7 @@
                        outcome result,
                        uint32_t status,
                        uint32_t retry_after,
-                       const std::string& answer) {
+                       const std::string& response) {
   if (item.ended) {
     // The requests of a killed host have ended already, with status 0.
     if (item.status != 0) {
@@ -455,7 +455,7 @@
   item.result = result;
   item.status = status;
   item.retry_after = retry_after;
-  item.answer = answer;
+  item.response = response;
 }
 
 world_upstream& world::AddUpstream(const upstream_spec& spec) {
@@ -543,10 +543,10 @@
     if (!item.ended) {
       ReportViolation("request " + name + " got no response");
     }
-    const bool own = item.answer.empty() || !item.key.empty() ||
-                     item.answer == "answer to " + name;
+    const bool own = item.response.empty() || !item.key.empty() ||
+                     item.response == "answer to " + name;
     if (!own) {
-      ReportViolation("request " + name + " got \"" + item.answer + "\"");
+      ReportViolation("request " + name + " got \"" + item.response + "\"");
     }
   }
 }
--- a/test/Scenario/world.h
+++ b/test/Scenario/world.h
@@ -64,7 +64,7 @@
   /// HTTP status; 0 if the connection was lost.
   uint32_t status = 0;
   uint32_t retry_after = 0;
-  std::string answer;
+  std::string response;
   /// Number of times that upstreams ran it, and where.
   uint64_t runs = 0;
   std::vector<std::string> upstreams;
@@ -209,7 +209,7 @@
                   outcome result,
                   uint32_t status,
                   uint32_t retry_after,
-                  const std::string& answer);
+                  const std::string& response);
   void RecordRun(world_upstream& upstream, const std::string& request);
   [[noreturn]] void ReportViolation(const std::string& what) const;
   /// Replies to a watch when the value has changed or at \p until.
--- a/test/soak/deployment.cc
+++ b/test/soak/deployment.cc
@@ -167,13 +167,14 @@
     return write.key == key && !(is_writing_ && &write == &writes_.front());
   });
   if (how == departure::kExpired) {
-    caller_.Call({.to = reliable_store_,
-                  .method = http_method::kPost,
-                  .path = "/kv-txn",
-                  .headers = {},
-                  .body = MakeRemoval(key),
-                  .idle_timeout = kWriteTimeout},
-                 [note](const platform::json_answer& /*answer*/) { note(); });
+    caller_.Call(
+        {.to = reliable_store_,
+         .method = http_method::kPost,
+         .path = "/kv-txn",
+         .headers = {},
+         .body = MakeRemoval(key),
+         .idle_timeout = kWriteTimeout},
+        [note](const platform::json_response& /*response*/) { note(); });
   }
   Remove(key, note);
 }
@@ -370,15 +371,15 @@
                 .headers = {},
                 .body = writes_.front().body,
                 .idle_timeout = kWriteTimeout},
-               [this](const platform::json_answer& answer) {
+               [this](const platform::json_response& response) {
                  is_writing_ = false;
-                 OnWritten(answer);
+                 OnWritten(response);
                });
 }
 
-void deployment::OnWritten(const platform::json_answer& answer) {
+void deployment::OnWritten(const platform::json_response& response) {
   // A write without a reply stays first in the queue and is retried.
-  if (!answer.is_whole || answer.status != 200) {
+  if (!response.is_whole || response.status != 200) {
     return;
   }
   if (writes_.front().on_done) {
@@ -401,7 +402,7 @@
                 .headers = {},
                 .body = {},
                 .idle_timeout = kWriteTimeout},
-               [](const platform::json_answer& /*answer*/) {});
+               [](const platform::json_response& /*response*/) {});
 }
 
 void deployment::InjectStoreLinkFault(size_t index, link_fault fault) {
@@ -416,7 +417,7 @@
                 .headers = {},
                 .body = {},
                 .idle_timeout = kWriteTimeout},
-               [](const platform::json_answer& /*answer*/) {});
+               [](const platform::json_response& /*response*/) {});
 }
 
 void deployment::TerminateDaemon(size_t index, int signal) {
--- a/test/soak/deployment.h
+++ b/test/soak/deployment.h
@@ -146,7 +146,7 @@
   void Remove(const std::string& key, std::function<void()> on_done = {});
   void Write(pending_write write);
   void SendNextWrite();
-  void OnWritten(const platform::json_answer& answer);
+  void OnWritten(const platform::json_response& response);
   /// \p mode may restrict the fault to one address of the store by `&at=`.
   void PostFault(const std::string& mode);
   void Register(upstream_state& item, std::function<void()> on_done = {});
--- a/tools/cuminctl/configuration_commands.cc
+++ b/tools/cuminctl/configuration_commands.cc
@@ -93,21 +93,21 @@
   return Sha256Hex(text + std::to_string(now) + "/" + std::to_string(getpid()));
 }
 
-int PrintSubmission(const submission_answer& answer) {
-  switch (answer.result) {
-    case submission_result::kAccepted:
-      std::cout << "accepted as generation " << answer.generation << "\n";
+int PrintSubmission(const submission_result& result) {
+  switch (result.status) {
+    case submission_status::kAccepted:
+      std::cout << "accepted as generation " << result.generation << "\n";
       return kSuccess;
-    case submission_result::kConflict:
+    case submission_status::kConflict:
       std::cout << "not accepted: the current generation is "
-                << answer.generation
+                << result.generation
                 << ", which is not the base of this document\n";
-      if (answer.conflicts.empty()) {
+      if (result.conflicts.empty()) {
         std::cout << "the changes affect different items\n";
       }
-      PrintChanges(answer.conflicts, "  theirs: ", "  yours:  ");
+      PrintChanges(result.conflicts, "  theirs: ", "  yours:  ");
       return kConflict;
-    case submission_result::kUnknown:
+    case submission_status::kUnknown:
       std::cout << "the platform did not confirm the submission; submit the "
                    "document again with the same base\n";
       return kUnknownOutcome;
--- a/unittests/Admission/request_quarantine_test.cc
+++ b/unittests/Admission/request_quarantine_test.cc
@@ -132,9 +132,9 @@
 // A lost connection is not a crash.
 TEST_F(request_quarantine_test, ClearsCrashesOfAnUpstreamThatResponds) {
   CrashThree();
-  quarantine_.OnAnswered(3, now_);
+  quarantine_.OnUpstreamResponse(3, now_);
   EXPECT_TRUE(IsQuarantined()) << "the attempt was sent before the crash";
-  quarantine_.OnAnswered(3, now_ + milliseconds(1));
+  quarantine_.OnUpstreamResponse(3, now_ + milliseconds(1));
   EXPECT_FALSE(IsQuarantined());
   ReceiveReport(3);
   EXPECT_FALSE(IsQuarantined()) << "the peer hasn't received the response";
--- a/unittests/Admission/upstream_limits_test.cc
+++ b/unittests/Admission/upstream_limits_test.cc
@@ -19,15 +19,15 @@
 
 TEST(upstream_limits_test, AddsChangesAndEndsALimit) {
   upstream_limits limits;
-  EXPECT_EQ(limits.OnAnswer(At(0), kUpstream, At(-1), {}), change::kNothing);
-  EXPECT_EQ(limits.OnAnswer(At(1), kUpstream, At(0), Advertised(2)),
+  EXPECT_EQ(limits.OnResponse(At(0), kUpstream, At(-1), {}), change::kNothing);
+  EXPECT_EQ(limits.OnResponse(At(1), kUpstream, At(0), Advertised(2)),
             change::kAdded);
-  EXPECT_EQ(limits.OnAnswer(At(2), kUpstream, At(1), Advertised(2)),
+  EXPECT_EQ(limits.OnResponse(At(2), kUpstream, At(1), Advertised(2)),
             change::kNothing);
-  EXPECT_EQ(limits.OnAnswer(At(3), kUpstream, At(2), Advertised(0.5)),
+  EXPECT_EQ(limits.OnResponse(At(3), kUpstream, At(2), Advertised(0.5)),
             change::kChanged);
   EXPECT_EQ(limits.Find(kUpstream), 0.5);
-  EXPECT_EQ(limits.OnAnswer(At(5), kUpstream, At(4), {}), change::kEnded);
+  EXPECT_EQ(limits.OnResponse(At(5), kUpstream, At(4), {}), change::kEnded);
   EXPECT_EQ(limits.Find(kUpstream), std::nullopt);
 }
 
@@ -37,19 +37,20 @@
 // the newer.
 TEST(upstream_limits_test, ResponseToAnEarlierRequestDoesNotEndALimit) {
   upstream_limits limits;
-  limits.OnAnswer(At(1), kUpstream, At(0.9), Advertised(1));
-  EXPECT_EQ(limits.OnAnswer(At(1.1), kUpstream, At(0.8), {}), change::kNothing);
+  limits.OnResponse(At(1), kUpstream, At(0.9), Advertised(1));
+  EXPECT_EQ(limits.OnResponse(At(1.1), kUpstream, At(0.8), {}),
+            change::kNothing);
   EXPECT_EQ(limits.Find(kUpstream), 1);
-  EXPECT_EQ(limits.OnAnswer(At(1.3), kUpstream, At(1.2), {}), change::kEnded);
+  EXPECT_EQ(limits.OnResponse(At(1.3), kUpstream, At(1.2), {}), change::kEnded);
 }
 
 TEST(upstream_limits_test, IgnoresUnreadableLimits) {
   upstream_limits limits;
   const limit_notice unreadable{.kind = notice_kind::kUnreadable};
-  EXPECT_EQ(limits.OnAnswer(At(0), kUpstream, At(0), unreadable),
+  EXPECT_EQ(limits.OnResponse(At(0), kUpstream, At(0), unreadable),
             change::kNothing);
-  limits.OnAnswer(At(1), kUpstream, At(0), Advertised(3));
-  EXPECT_EQ(limits.OnAnswer(At(3), kUpstream, At(2), unreadable),
+  limits.OnResponse(At(1), kUpstream, At(0), Advertised(3));
+  EXPECT_EQ(limits.OnResponse(At(3), kUpstream, At(2), unreadable),
             change::kNothing);
   EXPECT_EQ(limits.Find(kUpstream), 3);
 }
@@ -78,7 +79,7 @@
 TEST(upstream_limits_test, ListsOnlyLimitsLearntFromUpstreams) {
   upstream_limits limits;
   limits.OnUpdate(At(0), {.upstream = 1, .rate = 4});
-  limits.OnAnswer(At(0), 2, At(-1), Advertised(5));
+  limits.OnResponse(At(0), 2, At(-1), Advertised(5));
   const auto updates = limits.ListUpdates(At(1));
   ASSERT_EQ(updates.size(), 1U);
   EXPECT_EQ(updates.front().upstream, 2U);
@@ -100,10 +101,10 @@
 
 TEST(upstream_limits_test, EndsLimitsThatAreNotRenewed) {
   upstream_limits limits;
-  limits.OnAnswer(At(0), 1, At(0), Advertised(5));
+  limits.OnResponse(At(0), 1, At(0), Advertised(5));
   // Such a small limit is renewed by few responses.
-  limits.OnAnswer(At(0), 2, At(0), Advertised(0.1));
-  limits.OnAnswer(At(0), 3, At(0), Advertised(0));
+  limits.OnResponse(At(0), 2, At(0), Advertised(0.1));
+  limits.OnResponse(At(0), 3, At(0), Advertised(0));
   EXPECT_TRUE(limits.TakeExpired(At(9)).empty());
   EXPECT_EQ(limits.TakeExpired(At(11)), std::vector<uint64_t>{1});
   EXPECT_GT(limits.Find(3), 0);
--- a/unittests/Core/crashing_request_test.cc
+++ b/unittests/Core/crashing_request_test.cc
@@ -61,10 +61,11 @@
     uint64_t count = 0;
     while (const auto sent = TakeDispatch()) {
       ++count;
-      router_.OnAttemptEnded(
-          now_,
-          {.attempt = *sent, .result = outcome::kUnknown, .broke_off = true},
-          out_);
+      router_.OnAttemptEnded(now_,
+                             {.attempt = *sent,
+                              .result = outcome::kUnknown,
+                              .connection_lost = true},
+                             out_);
     }
     return count;
   }
@@ -127,9 +128,9 @@
     router_.quarantine().OnCrash(now_, kCrashing, upstream, now_);
   }
   router_.OnTick(now_, out_);
-  const auto answer = TakeAction<local_response>(out_);
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->result, outcome::kNotRun);
+  const auto response = TakeAction<local_response>(out_);
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->result, outcome::kNotRun);
 }
 
 // Each lost connection is followed by a response from the same upstream, which
@@ -144,10 +145,10 @@
       SendRequest(kHarmless, repeat_rule::kOnce, 1);
       const auto sent = TakeDispatch();
       ASSERT_TRUE(sent);
-      router_.OnAttemptAnswered(*sent);
+      router_.OnResponseStarted(*sent);
     }
     for (request_id id = last_request_ - 11; id <= last_request_; ++id) {
-      router_.OnCallerGone(now_, {.request = id}, out_);
+      router_.OnCallerDisconnected(now_, {.request = id}, out_);
     }
     out_.clear();
   }
--- a/unittests/Core/repeat_rules_test.cc
+++ b/unittests/Core/repeat_rules_test.cc
@@ -118,10 +118,10 @@
 TEST_F(repeat_rules_test, RefusedRequestDoesNotUseUpRetryBudget) {
   SendRequest(1, repeat_rule::kOnce, 1);
   EXPECT_EQ(EndAttempts({.result = outcome::kNotRun, .refused_busy = true}), 3);
-  const auto answer = Take<local_response>();
-  EXPECT_EQ(answer->result, outcome::kNotRun);
-  EXPECT_EQ(answer->status, 503U);
-  EXPECT_GT(answer->retry_after, duration(0));
+  const auto response = Take<local_response>();
+  EXPECT_EQ(response->result, outcome::kNotRun);
+  EXPECT_EQ(response->status, 503U);
+  EXPECT_GT(response->retry_after, duration(0));
 }
 
 TEST_F(repeat_rules_test, UnreachableUpstreamCostsNoRetry) {
--- a/unittests/Core/request_router_test.cc
+++ b/unittests/Core/request_router_test.cc
@@ -78,7 +78,7 @@
                            {.attempt = attempt,
                             .result = result,
                             .unreachable = result == outcome::kNotRun,
-                            .answer_begun = begun},
+                            .response_started = begun},
                            out_);
   }
 
@@ -248,7 +248,7 @@
 TEST_F(request_router_test, CallerDisconnectCancelsAttempt) {
   SendRequest(1);
   const auto first = Take<dispatch_attempt>();
-  router_.OnCallerGone(now_, {.request = 1}, out_);
+  router_.OnCallerDisconnected(now_, {.request = 1}, out_);
   EXPECT_EQ(Take<cancel_attempt>()->attempt, first->attempt);
   EXPECT_TRUE(router_.IsIdle());
 }
@@ -273,10 +273,10 @@
   }
   now_ += std::chrono::seconds(31);
   router_.OnTick(now_, out_);
-  const auto answer = Take<local_response>();
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->result, outcome::kNotRun);
-  EXPECT_GT(answer->retry_after_seconds, 0U);
+  const auto response = Take<local_response>();
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->result, outcome::kNotRun);
+  EXPECT_GT(response->retry_after_seconds, 0U);
 }
 
 // Guards against a host that has just started refusing requests with "too many
@@ -302,9 +302,9 @@
     SendRequest(id, "v", std::chrono::seconds(20));
   }
   EXPECT_GT(router_.counters().shed, 0U);
-  const auto answer = Take<local_response>();
-  EXPECT_EQ(answer->status, 429U);
-  EXPECT_GT(answer->retry_after_seconds, 0U);
+  const auto response = Take<local_response>();
+  EXPECT_EQ(response->status, 429U);
+  EXPECT_GT(response->retry_after_seconds, 0U);
 }
 
 TEST_F(request_router_test, RefusesUnknownWorkspaceAndTarget) {
@@ -338,18 +338,18 @@
                        .target_latency = std::chrono::milliseconds(300),
                        .caller_idle_timeout = std::chrono::seconds(4)},
                       out_);
-    if (const auto answer = Take<local_response>()) {
+    if (const auto response = Take<local_response>()) {
       ++refused;
-      EXPECT_EQ(answer->result, outcome::kNotRun);
-      EXPECT_EQ(answer->status, 429U);
-      EXPECT_GT(answer->retry_after, duration(0));
+      EXPECT_EQ(response->result, outcome::kNotRun);
+      EXPECT_EQ(response->status, 429U);
+      EXPECT_GT(response->retry_after, duration(0));
       EXPECT_GT(id, 4U) << "there was capacity";
       // The refusal carries the estimate, so that it can be checked later.
-      ASSERT_TRUE(answer->wait);
-      EXPECT_FALSE(answer->wait->upstream.empty());
-      EXPECT_EQ(answer->wait->target, std::chrono::milliseconds(300));
-      EXPECT_GT(answer->wait->Remaining(), answer->wait->target);
-      EXPECT_GT(answer->wait->prefill, duration(0));
+      ASSERT_TRUE(response->wait);
+      EXPECT_FALSE(response->wait->upstream.empty());
+      EXPECT_EQ(response->wait->target, std::chrono::milliseconds(300));
+      EXPECT_GT(response->wait->Remaining(), response->wait->target);
+      EXPECT_GT(response->wait->prefill, duration(0));
     }
   }
   EXPECT_GT(refused, 100);
@@ -448,11 +448,11 @@
 TEST_F(request_router_test, KnowsWhetherUnresponsiveAttemptCanMove) {
   SendRequest(1);
   ASSERT_TRUE(Take<dispatch_attempt>());
-  EXPECT_TRUE(router_.CanPlaceElsewhere(now_, 1));
-  EXPECT_FALSE(router_.CanPlaceElsewhere(now_, 2)) << "unknown request";
+  EXPECT_TRUE(router_.CanRetryElsewhere(now_, 1));
+  EXPECT_FALSE(router_.CanRetryElsewhere(now_, 2)) << "unknown request";
   router_.OnUpstreamReport(now_, {.upstream = "a", .reachable = false}, out_);
   router_.OnUpstreamReport(now_, {.upstream = "b", .reachable = false}, out_);
-  EXPECT_FALSE(router_.CanPlaceElsewhere(now_, 1)) << "no other replica";
+  EXPECT_FALSE(router_.CanRetryElsewhere(now_, 1)) << "no other replica";
 }
 
 }  // namespace
--- a/unittests/Core/upstream_limit_test.cc
+++ b/unittests/Core/upstream_limit_test.cc
@@ -176,7 +176,7 @@
   AdvertiseLimit("b", 1);
   SendRequest(1);
   const auto asked = TakePermitRequest();
-  router_.OnCallerGone(now_, {.request = 1}, out_);
+  router_.OnCallerDisconnected(now_, {.request = 1}, out_);
   ReplyToPermit(*asked, true);
   EXPECT_FALSE(Take<dispatch_attempt>());
   const auto unused = router_.TakeUnusedPermits();
--- a/unittests/Core/upstream_notice_test.cc
+++ b/unittests/Core/upstream_notice_test.cc
@@ -137,12 +137,12 @@
   now_ += seconds(1);
   SendRequest();
   EXPECT_FALSE(TakeDispatch());
-  const auto answer = TakeAction<local_response>(out_);
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->result, outcome::kNotRun);
-  EXPECT_EQ(answer->status, 503U);
-  EXPECT_GE(answer->retry_after, seconds(3));
-  EXPECT_LE(answer->retry_after, milliseconds(3'760));
+  const auto response = TakeAction<local_response>(out_);
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->result, outcome::kNotRun);
+  EXPECT_EQ(response->status, 503U);
+  EXPECT_GE(response->retry_after, seconds(3));
+  EXPECT_LE(response->retry_after, milliseconds(3'760));
 }
 
 TEST_F(upstream_notice_test, QueuesRequestUntilEndOfShortBackoff) {
@@ -223,7 +223,7 @@
 TEST_F(upstream_notice_test, DoesNotMoveRequestToUpstreamInBackoff) {
   SendRequest();
   const auto unresponsive = *TakeDispatch();
-  EXPECT_TRUE(router_.CanPlaceElsewhere(now_, last_request_));
+  EXPECT_TRUE(router_.CanRetryElsewhere(now_, last_request_));
   std::set<std::string> in_backoff;
   while (in_backoff.size() < names_.size() - 1) {
     SendRequest();
@@ -235,7 +235,7 @@
     out_.clear();
     now_ += milliseconds(60);
   }
-  EXPECT_FALSE(router_.CanPlaceElsewhere(now_, unresponsive.request));
+  EXPECT_FALSE(router_.CanRetryElsewhere(now_, unresponsive.request));
 }
 
 }  // namespace
--- a/unittests/Daemon/request_relay_test.cc
+++ b/unittests/Daemon/request_relay_test.cc
@@ -143,7 +143,7 @@
   const auto& ended = std::get<attempt_ended>(events_[1]);
   EXPECT_EQ(ended.attempt, 7U);
   EXPECT_EQ(ended.result, outcome::kUnknown);
-  EXPECT_TRUE(ended.answer_begun);
+  EXPECT_TRUE(ended.response_started);
   relay_->SendLocalResponse({.request = 1,
                              .result = outcome::kUnknown,
                              .status = 502,
--- a/unittests/Edge/request_flow_test.cc
+++ b/unittests/Edge/request_flow_test.cc
@@ -51,10 +51,11 @@
       const dispatch_attributes& /*attributes*/) const override {
     return {{.name = "Host", .value = "h"}};
   }
-  response_attributes ReadAnswer(const message_head& /*head*/) const override {
-    return answer;
+  response_attributes ReadResponse(
+      const message_head& /*head*/) const override {
+    return response;
   }
-  response_attributes answer{.is_signed = true};
+  response_attributes response{.is_signed = true};
 };
 
 class recording_owner : public flow_owner {
@@ -67,12 +68,12 @@
     }
   }
   void OnFlowAttemptFailed(const request_flow& /*flow*/,
-                           attempt_result /*answer*/,
+                           attempt_result /*result*/,
                            uint32_t /*status*/) override {
     ++failed;
   }
   void OnConnectionLost(const endpoint& /*address*/) override {}
-  bool CanPlaceElsewhere(const request_flow& /*flow*/) override {
+  bool CanRetryElsewhere(const request_flow& /*flow*/) override {
     return can_retry;
   }
   void OnFlowEnd(request_flow& /*flow*/, const flow_result& end) override {
@@ -208,14 +209,14 @@
 // Cause: every response without a limit removed the limit. In a soak run each
 // burst followed a refusal, with no update from another daemon in between.
 TEST_F(request_flow_test, RefusalWithoutLimitDoesNotRemoveLimit) {
-  protocol_.answer = {.was_not_run = true};
+  protocol_.response = {.was_not_run = true};
   const auto refused = Dispatch(1);
   refused->Send(
       "HTTP/1.1 503 Full\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
   RunUntil(base_, [&] { return owner_.failed > 0; });
   EXPECT_TRUE(owner_.limits.empty());
   // A refusal that advertises a limit is applied.
-  protocol_.answer.limit = {.kind = notice_kind::kValid, .rate = 2};
+  protocol_.response.limit = {.kind = notice_kind::kValid, .rate = 2};
   const auto again = Dispatch(2);
   again->Send(
       "HTTP/1.1 503 Full\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
--- a/unittests/Http1/caller_server_test.cc
+++ b/unittests/Http1/caller_server_test.cc
@@ -16,7 +16,7 @@
 
 class recording_listener : public caller_listener {
  public:
-  void OnCallerGone() override { disconnected = true; }
+  void OnCallerDisconnected() override { disconnected = true; }
   void OnCallerDrained() override {}
   bool disconnected = false;
 };
--- a/unittests/Once/shard_journal_test.cc
+++ b/unittests/Once/shard_journal_test.cc
@@ -37,8 +37,7 @@
   std::optional<start_result> TakeResult() {
     for (size_t i = 0; i < out_.size(); ++i) {
       if (auto* sent = std::get_if<send_peer>(&out_[i])) {
-        const start_result result =
-            std::get<start_reply>(sent->message).verdict;
+        const start_result result = std::get<start_reply>(sent->message).result;
         out_.erase(out_.begin() + static_cast<std::ptrdiff_t>(i));
         return result;
       }
@@ -50,12 +49,12 @@
                platform_status status,
                revision_number revision = 0,
                std::string value = {}) {
-    journal_.OnPlatformAnswer(now_, kUnixNow,
-                              {.tag = call.tag,
-                               .status = status,
-                               .revision = revision,
-                               .value = std::move(value)},
-                              out_);
+    journal_.OnPlatformReply(now_, kUnixNow,
+                             {.tag = call.tag,
+                              .status = status,
+                              .revision = revision,
+                              .value = std::move(value)},
+                             out_);
   }
 
   void ClaimShard() {
@@ -125,7 +124,7 @@
   ClaimShard();
   Start(1, 1);
   const platform_call commit = TakeCall();
-  ReplyTo(commit, platform_status::kNoAnswer);
+  ReplyTo(commit, platform_status::kNoReply);
   EXPECT_EQ(TakeResult(), start_result::kRefused);
   Advance(600);
   // The read-back returns the old record; the lost write takes effect after it.
@@ -183,14 +182,14 @@
   out_.clear();
   successor.Claim(out_);
   const platform_call read = TakeCall();
-  successor.OnPlatformAnswer(now_, kUnixNow,
-                             {.tag = read.tag,
-                              .status = platform_status::kOk,
-                              .revision = 3,
-                              .value = EncodeShardRecord(record)},
-                             out_);
+  successor.OnPlatformReply(now_, kUnixNow,
+                            {.tag = read.tag,
+                             .status = platform_status::kOk,
+                             .revision = 3,
+                             .value = EncodeShardRecord(record)},
+                            out_);
   const platform_call claim = TakeCall();
-  successor.OnPlatformAnswer(
+  successor.OnPlatformReply(
       now_, kUnixNow,
       {.tag = claim.tag, .status = platform_status::kOk, .revision = 4}, out_);
   successor.OnStart(now_, kUnixNow, old_start, out_);
@@ -204,7 +203,7 @@
   TakeResult();
   journal_.OnFinish({.key = {1, 1},
                      .result = outcome::kAnswered,
-                     .answer = {200, "t", std::string(20'000, 'x')}});
+                     .response = {200, "t", std::string(20'000, 'x')}});
   Start(1, 9);
   EXPECT_EQ(TakeResult(), start_result::kStarted);
 }
--- a/unittests/PlatformAdapter/http_protocol_test.cc
+++ b/unittests/PlatformAdapter/http_protocol_test.cc
@@ -100,20 +100,20 @@
   head.headers = {{"X-Attempt-Id", "id1"},
                   {"X-Replica-Stamp", "s"},
                   {"X-Replica-Load", "3,2,8"}};
-  response_attributes response = http_protocol().ReadAnswer(head);
+  response_attributes response = http_protocol().ReadResponse(head);
   EXPECT_TRUE(response.is_signed);
   EXPECT_FALSE(response.was_not_run);
   EXPECT_EQ(response.load->running, 3U);
   EXPECT_EQ(response.load->waiting, 2U);
   head.status = 421;
-  response = http_protocol().ReadAnswer(head);
+  response = http_protocol().ReadResponse(head);
   EXPECT_TRUE(response.is_mismatch);
   EXPECT_TRUE(response.was_not_run);
   head.status = 503;
   head.headers = {{"X-Not-Executed", "1"}};
-  EXPECT_TRUE(http_protocol().ReadAnswer(head).was_not_run);
+  EXPECT_TRUE(http_protocol().ReadResponse(head).was_not_run);
   head.headers = {};
-  EXPECT_FALSE(http_protocol().ReadAnswer(head).was_not_run);
+  EXPECT_FALSE(http_protocol().ReadResponse(head).was_not_run);
 }
 
 TEST(http_protocol_test, ReadsBackoffOfRefusal) {
@@ -124,7 +124,7 @@
     for (const std::string& value : values) {
       head.headers.push_back({"retry-after", value});
     }
-    return http_protocol().ReadAnswer(head).backoff;
+    return http_protocol().ReadResponse(head).backoff;
   };
   EXPECT_EQ(read({}).kind, notice_kind::kNone);
   for (const auto& [text, seconds] :
@@ -143,14 +143,14 @@
 TEST(http_protocol_test, ReadsUpstreamLeaving) {
   message_head head;
   head.status = 200;
-  EXPECT_FALSE(http_protocol().ReadAnswer(head).is_leaving);
+  EXPECT_FALSE(http_protocol().ReadResponse(head).is_leaving);
   head.headers = {{"server-leaving", "1"}};
-  EXPECT_TRUE(http_protocol().ReadAnswer(head).is_leaving);
+  EXPECT_TRUE(http_protocol().ReadResponse(head).is_leaving);
   head.status = 421;
-  EXPECT_FALSE(http_protocol().ReadAnswer(head).is_leaving);
+  EXPECT_FALSE(http_protocol().ReadResponse(head).is_leaving);
   head.status = 200;
   head.headers = {{"server-leaving", "0"}};
-  EXPECT_FALSE(http_protocol().ReadAnswer(head).is_leaving);
+  EXPECT_FALSE(http_protocol().ReadResponse(head).is_leaving);
 }
 
 TEST(http_protocol_test, ReadsUpstreamRateLimit) {
@@ -160,7 +160,7 @@
     for (const std::string& value : values) {
       head.headers.push_back({"server-limit", value});
     }
-    return http_protocol().ReadAnswer(head).limit;
+    return http_protocol().ReadResponse(head).limit;
   };
   EXPECT_EQ(read({}).kind, notice_kind::kNone);
   for (const auto& [text, rate] :
--- a/unittests/Wire/peer_codec_test.cc
+++ b/unittests/Wire/peer_codec_test.cc
@@ -70,12 +70,12 @@
   EXPECT_EQ(request.shard, 4U);
   const start_reply reply = RoundTrip(
       start_reply{.request = 3,
-                  .verdict = start_result::kAnswered,
+                  .result = start_result::kAnswered,
                   .epoch = 5,
                   .retry_after_seconds = 6,
-                  .answer = {200, "text/plain", std::string("a\0b", 3)}});
-  EXPECT_EQ(reply.verdict, start_result::kAnswered);
-  EXPECT_EQ(reply.answer.body, std::string("a\0b", 3));
+                  .response = {200, "text/plain", std::string("a\0b", 3)}});
+  EXPECT_EQ(reply.result, start_result::kAnswered);
+  EXPECT_EQ(reply.response.body, std::string("a\0b", 3));
 }
 
 TEST(PeerCodecTest, OtherMessagesRoundTrip) {
@@ -107,7 +107,7 @@
       EncodePeerMessage(heartbeat{.sender = MakeMember(),
                                   .updates = {MakeMember(), MakeMember()}},
                         kCredential),
-      EncodePeerMessage(start_reply{.answer = {200, "a", "b"}}, kCredential),
+      EncodePeerMessage(start_reply{.response = {200, "a", "b"}}, kCredential),
       EncodePeerMessage(configuration_reply{.chunks = {{"a", "b"}}},
                         kCredential)};
   for (int i = 0; i < 30'000; ++i) {
--- a/utils/platform_stand_in/platform_stand_in.cc
+++ b/utils/platform_stand_in/platform_stand_in.cc
@@ -174,8 +174,8 @@
                       .revision = ++revision_,
                       .lease = ParseNumber(exchange->Header("X-Lease"))};
     }
-    if (status == 200 && lose_answers_ > 0) {
-      --lose_answers_;
+    if (status == 200 && lose_replies_ > 0) {
+      --lose_replies_;
       unanswered_.push_back(exchange);
     } else {
       const uint64_t revision = RevisionOf(key);
@@ -236,7 +236,7 @@
     }
     const std::string lose = exchange.Parameter("lose_answers");
     if (!lose.empty()) {
-      lose_answers_ = ParseNumber(lose);
+      lose_replies_ = ParseNumber(lose);
     }
     exchange.Reply(200, kJson, "{}");
   }
@@ -322,7 +322,7 @@
   uint64_t next_lease_ = 0;
   clock::time_point outage_until_{};
   std::chrono::milliseconds slow_{0};
-  uint64_t lose_answers_ = 0;
+  uint64_t lose_replies_ = 0;
   uint64_t calls_ = 0;
   uint64_t writes_ = 0;
   uint64_t calls_in_second_ = 0;
