--- a/include/cuminswitch/Edge/attempt_disposition.h
+++ b/include/cuminswitch/Edge/attempt_disposition.h
@@ -48,8 +48,7 @@
   /// Report to the caller that the outcome is unknown.
   kReportUnknown,
   /// Close the caller's connection, so that the caller does not take a
-  /// truncated
-  /// response for a complete one.
+  /// truncated response for a complete one.
   kAbort,
 };
 
--- a/test/Scenario/script.h
+++ b/test/Scenario/script.h
@@ -3,8 +3,8 @@
 //   world [hosts N] [shards N] [seed N] [retention SECONDS]
 //   engine NAME in DOMAIN serves MODEL      service NAME in DOMAIN serves NAME
 //   submit [base N] [as ID] [conflicts]
-//        submits a configuration of all upstreams added so far; and that may be
-//        rejected if it says `conflicts`
+//        submits a configuration of all upstreams added so far; with
+//        `conflicts`, it may be rejected
 //   version V                   sets the model version of later submissions
 //   start HOST | all            kill HOST | all
 //   freeze HOST | all           thaw HOST | all
--- a/test/soak/deployment.h
+++ b/test/soak/deployment.h
@@ -72,7 +72,7 @@
   bool is_registered = false;
   bool is_draining = false;
   bool is_paused = false;
-  /// Departs for good, but still serves requests.
+  /// Departs permanently, but still serves requests.
   bool is_departing = false;
   /// When to restart it after its process exited by itself.
   std::optional<steady_time> restart_at;
--- a/unittests/Core/crashing_request_test.cc
+++ b/unittests/Core/crashing_request_test.cc
@@ -1,5 +1,5 @@
 // A request that crashes each upstream that runs it: how many upstreams it
-// reaches, and how its callers are answered.
+// reaches, and which responses its callers get.
 #include <gtest/gtest.h>
 
 #include <optional>
--- a/unittests/Core/request_router_test.cc
+++ b/unittests/Core/request_router_test.cc
@@ -100,7 +100,8 @@
 /// Places requests with one shared prefix at upstreams that restart.
 class restarted_upstream_test : public request_router_test {
  protected:
-  /// Sends and answers a request with the shared prefix; returns its upstream.
+  /// Sends and completes a request with the shared prefix; returns its
+  /// upstream.
   std::string PlaceRequest() {
     SendRequest(++last_);
     const auto sent = Take<dispatch_attempt>();
@@ -445,7 +446,7 @@
 
 // Guards against a 502 for a request whose engine was about to respond: an
 // unresponsive attempt must not be cancelled if no other replica is available.
-TEST_F(request_router_test, KnowsWhetherUnresponsiveAttemptCanMove) {
+TEST_F(request_router_test, ReportsWhetherUnresponsiveAttemptCanBeRetried) {
   SendRequest(1);
   ASSERT_TRUE(Take<dispatch_attempt>());
   EXPECT_TRUE(router_.CanRetryElsewhere(now_, 1));
--- a/unittests/Core/upstream_notice_test.cc
+++ b/unittests/Core/upstream_notice_test.cc
@@ -76,7 +76,7 @@
     }
     out_.clear();
   }
-  /// Sends and answers requests for \p time; returns the upstreams used.
+  /// Sends and completes requests for \p time; returns the upstreams used.
   std::set<std::string> ServeRequests(duration time) {
     std::set<std::string> used;
     for (const time_point end = now_ + time; now_ < end;
--- a/unittests/Daemon/chat_request_test.cc
+++ b/unittests/Daemon/chat_request_test.cc
@@ -14,7 +14,7 @@
          contract + R"("},{"role":"user","content":")" + order + R"("}]})";
 }
 
-TEST(ChatRequestTest, EachMessageIsALevel) {
+TEST(ChatRequestTest, MakesOneLevelPerMessage) {
   const chat_request chat = ParseChatRequest(MakeBody("contract", "order"));
   EXPECT_EQ(chat.model, "m");
   EXPECT_TRUE(chat.stream);
@@ -34,7 +34,7 @@
   EXPECT_NE(a.levels[2].hash, c.levels[2].hash);
 }
 
-TEST(ChatRequestTest, MalformedBodiesAreRefused) {
+TEST(ChatRequestTest, RejectsMalformedBodies) {
   for (const char* body :
        {"", "[]", "{", R"({"model":1})", R"({"model":"m"})",
         R"({"model":"m","messages":[]})", R"({"model":"m","messages":[3]})",
--- a/unittests/Fleet/items_request_tracker_test.cc
+++ b/unittests/Fleet/items_request_tracker_test.cc
@@ -34,7 +34,7 @@
   EXPECT_TRUE(tracker.MaySend(kStart + milliseconds(200)));
 }
 
-TEST(items_request_tracker_test, CountsRequests) {
+TEST(items_request_tracker_test, CountChangesWithEachRequest) {
   items_request_tracker tracker;
   const uint64_t first = tracker.request_count();
   tracker.OnSent(kStart, "d");
--- a/unittests/Fleet/peer_frame_test.cc
+++ b/unittests/Fleet/peer_frame_test.cc
@@ -122,7 +122,7 @@
 
 // Guards against a daemon on a host with 88 MB running out of memory when a
 // damaged frame claims a list of four gigabytes.
-TEST(peer_frame_test, RefusesAFalseSizeOfPackedBytes) {
+TEST(peer_frame_test, RejectsAWrongUncompressedSize) {
   const std::array<uint8_t, 3> bytes = {1, 2, 3};
   EXPECT_FALSE(UnpackBytes(bytes, kMaxUnpackedSize));
   EXPECT_FALSE(UnpackBytes(bytes, size_t{4} << 30));
@@ -133,7 +133,7 @@
 
 // Guards against a damaged frame crashing a daemon. The damage is pseudo-random
 // with a fixed seed.
-TEST(peer_frame_test, SurvivesDamagedFrames) {
+TEST(peer_frame_test, DecodesCorruptFramesWithoutCrashing) {
   const std::string heartbeat = EncodePeerFrame(MakeHeartbeat());
   const std::string list = EncodePeerFrame(MakeList(20));
   uint32_t state = 3;
@@ -267,7 +267,7 @@
 }
 
 // Guards against a NaN or an infinity that would remain in an owner's token
-// bucket for good.
+// bucket permanently.
 TEST(peer_frame_test, RejectsInvalidQuotaQueries) {
   quota_query query = MakeQuotaQuery();
   query.weight = std::nan("");
--- a/unittests/Fleet/store_outage_tracker_test.cc
+++ b/unittests/Fleet/store_outage_tracker_test.cc
@@ -144,7 +144,7 @@
 }
 
 // Guards against daemons that extend each other's window indefinitely.
-TEST_F(store_outage_tracker_test, RelayedWindowEnds) {
+TEST_F(store_outage_tracker_test, RelaysDoNotExtendWindow) {
   constexpr milliseconds kDelay{600};
   const store_outage_tracker origin = MakeAfterOutage(1);
   store_outage_tracker first = Make(2);
--- a/unittests/Fleet/weights_rollout_test.cc
+++ b/unittests/Fleet/weights_rollout_test.cc
@@ -96,7 +96,7 @@
   EXPECT_EQ(queried, (std::set<std::string>{"e9", "e10", "e11"}));
 }
 
-TEST_F(weights_rollout_test, CommandStatesReportedState) {
+TEST_F(weights_rollout_test, CommandCarriesAcceptedOrdersOfReport) {
   Tick(now_);
   const auto step = rollout_.OnReport(now_, "e0", Report(1, 7));
   ASSERT_TRUE(step && step->command);
--- a/unittests/Once/shard_journal_test.cc
+++ b/unittests/Once/shard_journal_test.cc
@@ -142,7 +142,7 @@
   EXPECT_EQ(TakeResult(), start_result::kGranted);
 }
 
-TEST_F(shard_journal_test, IsDeposedByARecordOfAnotherOwner) {
+TEST_F(shard_journal_test, LosesOwnershipToARecordOfAnotherOwner) {
   ClaimShard();
   Start(1, 1);
   ReplyTo(TakeCall(), platform_status::kConflict, 5);
