--- a/lib/Admission/upstream_limits.cc
+++ b/lib/Admission/upstream_limits.cc
@@ -66,12 +66,13 @@
   return change::kEnded;
 }
 
-upstream_limits::change upstream_limits::OnAnswer(time_point now,
-                                                  uint64_t upstream,
-                                                  time_point sent,
-                                                  const limit_notice& notice) {
+upstream_limits::change upstream_limits::OnResponse(
+    time_point now,
+    uint64_t upstream,
+    time_point sent,
+    const limit_notice& notice) {
   switch (notice.kind) {
-    case notice_kind::kNamed:
+    case notice_kind::kValid:
       return ApplyLimit(now,
                         {.upstream = upstream, .at = now, .is_local = true},
                         notice.rate);
--- a/lib/Core/request_permits.cc
+++ b/lib/Core/request_permits.cc
@@ -16,7 +16,7 @@
 static bool HasOtherWithCapacity(const eligible_replicas& eligible,
                                  replica_index chosen) {
   for (size_t i = 0; i < eligible.indices.size(); ++i) {
-    if (eligible.has_room[i] && eligible.indices[i] != chosen) {
+    if (eligible.has_free_slot[i] && eligible.indices[i] != chosen) {
       return true;
     }
   }
@@ -107,7 +107,7 @@
                                                 uint64_t upstream,
                                                 time_point sent,
                                                 const limit_notice& notice) {
-  const auto what = limits_.OnAnswer(now, upstream, sent, notice);
+  const auto what = limits_.OnResponse(now, upstream, sent, notice);
   OnLimitChange(upstream, what);
   return what;
 }
--- a/test/soak/deployment.h
+++ b/test/soak/deployment.h
@@ -72,7 +72,7 @@
   bool is_registered = false;
   bool is_draining = false;
   bool is_paused = false;
-  /// Departs for good, but still serves requests.
+  /// Departs permanently, but still serves requests.
   bool is_departing = false;
   /// When to restart it after its process exited by itself.
   std::optional<steady_time> restart_at;
@@ -146,7 +146,7 @@
   void Remove(const std::string& key, std::function<void()> on_done = {});
   void Write(pending_write write);
   void SendNextWrite();
-  void OnWritten(const platform::json_answer& answer);
+  void OnWritten(const platform::json_response& response);
   /// \p mode may restrict the fault to one address of the store by `&at=`.
   void PostFault(const std::string& mode);
   void Register(upstream_state& item, std::function<void()> on_done = {});
--- a/unittests/Core/upstream_limit_test.cc
+++ b/unittests/Core/upstream_limit_test.cc
@@ -48,7 +48,7 @@
   }
   void AdvertiseLimit(const std::string& upstream, double rate) {
     router_.OnLimit(now_, Hash64(upstream), now_,
-                    {.kind = notice_kind::kNamed, .rate = rate});
+                    {.kind = notice_kind::kValid, .rate = rate});
   }
   void SendRequest(request_id id) {
     router_.OnRequest(now_,
@@ -176,7 +176,7 @@
   AdvertiseLimit("b", 1);
   SendRequest(1);
   const auto asked = TakePermitRequest();
-  router_.OnCallerGone(now_, {.request = 1}, out_);
+  router_.OnCallerDisconnected(now_, {.request = 1}, out_);
   ReplyToPermit(*asked, true);
   EXPECT_FALSE(Take<dispatch_attempt>());
   const auto unused = router_.TakeUnusedPermits();
--- a/unittests/Core/upstream_notice_test.cc
+++ b/unittests/Core/upstream_notice_test.cc
@@ -76,7 +76,7 @@
     }
     out_.clear();
   }
-  /// Sends and answers requests for \p time; returns the upstreams used.
+  /// Sends and completes requests for \p time; returns the upstreams used.
   std::set<std::string> ServeRequests(duration time) {
     std::set<std::string> used;
     for (const time_point end = now_ + time; now_ < end;
@@ -137,12 +137,12 @@
   now_ += seconds(1);
   SendRequest();
   EXPECT_FALSE(TakeDispatch());
-  const auto answer = TakeAction<local_response>(out_);
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->result, outcome::kNotRun);
-  EXPECT_EQ(answer->status, 503U);
-  EXPECT_GE(answer->retry_after, seconds(3));
-  EXPECT_LE(answer->retry_after, milliseconds(3'760));
+  const auto response = TakeAction<local_response>(out_);
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->result, outcome::kNotRun);
+  EXPECT_EQ(response->status, 503U);
+  EXPECT_GE(response->retry_after, seconds(3));
+  EXPECT_LE(response->retry_after, milliseconds(3'760));
 }
 
 TEST_F(upstream_notice_test, QueuesRequestUntilEndOfShortBackoff) {
@@ -160,7 +160,7 @@
   SendRequest();
   const auto sent = *TakeDispatch();
   router_.OnLimit(now_, Hash64(sent.upstream), now_,
-                  {.kind = notice_kind::kNamed, .rate = 5});
+                  {.kind = notice_kind::kValid, .rate = 5});
   RequestBackoff(sent, seconds(3));
   out_.clear();
   now_ += milliseconds(10);
@@ -173,7 +173,7 @@
   const auto sent = *TakeDispatch();
   for (const std::string& name : names_) {
     router_.OnLimit(now_, Hash64(name), now_,
-                    {.kind = notice_kind::kNamed, .rate = 5});
+                    {.kind = notice_kind::kValid, .rate = 5});
   }
   SendRequest();
   auto asked = router_.TakePermitRequests();
@@ -223,7 +223,7 @@
 TEST_F(upstream_notice_test, DoesNotMoveRequestToUpstreamInBackoff) {
   SendRequest();
   const auto unresponsive = *TakeDispatch();
-  EXPECT_TRUE(router_.CanPlaceElsewhere(now_, last_request_));
+  EXPECT_TRUE(router_.CanRetryElsewhere(now_, last_request_));
   std::set<std::string> in_backoff;
   while (in_backoff.size() < names_.size() - 1) {
     SendRequest();
@@ -235,7 +235,7 @@
     out_.clear();
     now_ += milliseconds(60);
   }
-  EXPECT_FALSE(router_.CanPlaceElsewhere(now_, unresponsive.request));
+  EXPECT_FALSE(router_.CanRetryElsewhere(now_, unresponsive.request));
 }
 
 }  // namespace
--- a/unittests/PlatformAdapter/http_protocol_test.cc
+++ b/unittests/PlatformAdapter/http_protocol_test.cc
@@ -100,20 +100,20 @@
   head.headers = {{"X-Attempt-Id", "id1"},
                   {"X-Replica-Stamp", "s"},
                   {"X-Replica-Load", "3,2,8"}};
-  response_attributes response = http_protocol().ReadAnswer(head);
+  response_attributes response = http_protocol().ReadResponse(head);
   EXPECT_TRUE(response.is_signed);
   EXPECT_FALSE(response.was_not_run);
   EXPECT_EQ(response.load->running, 3U);
   EXPECT_EQ(response.load->waiting, 2U);
   head.status = 421;
-  response = http_protocol().ReadAnswer(head);
+  response = http_protocol().ReadResponse(head);
   EXPECT_TRUE(response.is_mismatch);
   EXPECT_TRUE(response.was_not_run);
   head.status = 503;
   head.headers = {{"X-Not-Executed", "1"}};
-  EXPECT_TRUE(http_protocol().ReadAnswer(head).was_not_run);
+  EXPECT_TRUE(http_protocol().ReadResponse(head).was_not_run);
   head.headers = {};
-  EXPECT_FALSE(http_protocol().ReadAnswer(head).was_not_run);
+  EXPECT_FALSE(http_protocol().ReadResponse(head).was_not_run);
 }
 
 TEST(http_protocol_test, ReadsBackoffOfRefusal) {
@@ -124,12 +124,12 @@
     for (const std::string& value : values) {
       head.headers.push_back({"retry-after", value});
     }
-    return http_protocol().ReadAnswer(head).backoff;
+    return http_protocol().ReadResponse(head).backoff;
   };
   EXPECT_EQ(read({}).kind, notice_kind::kNone);
   for (const auto& [text, seconds] :
        {std::pair("3", 3.0), {"0", 0}, {"0.25", 0.25}, {"86400", 300}}) {
-    EXPECT_EQ(read({text}).kind, notice_kind::kNamed) << text;
+    EXPECT_EQ(read({text}).kind, notice_kind::kValid) << text;
     EXPECT_EQ(read({text}).time, FromSeconds(seconds)) << text;
   }
   EXPECT_EQ(read({"1", "4", "2"}).time, std::chrono::seconds(4));
@@ -143,14 +143,14 @@
 TEST(http_protocol_test, ReadsUpstreamLeaving) {
   message_head head;
   head.status = 200;
-  EXPECT_FALSE(http_protocol().ReadAnswer(head).is_leaving);
+  EXPECT_FALSE(http_protocol().ReadResponse(head).is_leaving);
   head.headers = {{"server-leaving", "1"}};
-  EXPECT_TRUE(http_protocol().ReadAnswer(head).is_leaving);
+  EXPECT_TRUE(http_protocol().ReadResponse(head).is_leaving);
   head.status = 421;
-  EXPECT_FALSE(http_protocol().ReadAnswer(head).is_leaving);
+  EXPECT_FALSE(http_protocol().ReadResponse(head).is_leaving);
   head.status = 200;
   head.headers = {{"server-leaving", "0"}};
-  EXPECT_FALSE(http_protocol().ReadAnswer(head).is_leaving);
+  EXPECT_FALSE(http_protocol().ReadResponse(head).is_leaving);
 }
 
 TEST(http_protocol_test, ReadsUpstreamRateLimit) {
@@ -160,12 +160,12 @@
     for (const std::string& value : values) {
       head.headers.push_back({"server-limit", value});
     }
-    return http_protocol().ReadAnswer(head).limit;
+    return http_protocol().ReadResponse(head).limit;
   };
   EXPECT_EQ(read({}).kind, notice_kind::kNone);
   for (const auto& [text, rate] :
        {std::pair("1.3", 1.3), {"0", 0}, {"200", 200}, {"1e9", 1e9}}) {
-    EXPECT_EQ(read({text}).kind, notice_kind::kNamed) << text;
+    EXPECT_EQ(read({text}).kind, notice_kind::kValid) << text;
     EXPECT_EQ(read({text}).rate, rate);
   }
   EXPECT_EQ(read({"3", "2", "5"}).rate, 2);
