--- a/include/cuminswitch/Edge/event_splitter.h
+++ b/include/cuminswitch/Edge/event_splitter.h
@@ -21,7 +21,7 @@
   /// Drops a buffered incomplete event.
   void DropPartial();
   /// Returns the bytes left when the stream has ended normally.
-  std::string_view ApplyBackoff();
+  std::string_view TakeRemainder();
   /// The identifier of the last complete event that had one.
   const std::optional<std::string>& last_id() const { return last_id_; }
 
--- a/lib/Edge/event_splitter.cc
+++ b/lib/Edge/event_splitter.cc
@@ -53,7 +53,7 @@
   returned_ = 0;
 }
 
-std::string_view event_splitter::ApplyBackoff() {
+std::string_view event_splitter::TakeRemainder() {
   buffer_.erase(0, returned_);
   returned_ = buffer_.size();
   ParseIds(buffer_);
--- a/lib/Edge/request_flow.cc
+++ b/lib/Edge/request_flow.cc
@@ -322,7 +322,7 @@
     with_.owner.OnFlowEvent(attempt_first_byte{.attempt = attempt_});
   }
   if (IsForwarding()) {
-    const std::string_view rest = splitter_.ApplyBackoff();
+    const std::string_view rest = splitter_.TakeRemainder();
     if (!is_head_sent_) {
       SendResponseHead(std::nullopt);
     }
--- a/unittests/Edge/event_splitter_test.cc
+++ b/unittests/Edge/event_splitter_test.cc
@@ -43,7 +43,7 @@
     for (size_t at = 0; at < text.size(); at += piece) {
       whole += splitter.Add(std::string_view(text).substr(at, piece));
     }
-    whole += splitter.ApplyBackoff();
+    whole += splitter.TakeRemainder();
     EXPECT_EQ(whole, text) << piece;
     EXPECT_EQ(splitter.last_id(), "3");
   }
