--- a/lib/Fleet/fleet_publishing.cc
+++ b/lib/Fleet/fleet_publishing.cc
@@ -121,9 +121,10 @@
 void fleet_task::LogSuspicions() {
   const std::vector<std::string> suspected = peer_table_.TakeSuspected();
   if (!suspected.empty()) {
-    parts_.log.Write(log_class::kStateChange, log_line("peers_suspected")
-                                             .Add("count", suspected.size())
-                                             .Add("first", suspected.front()));
+    parts_.log.Write(log_class::kStateChange,
+                     log_line("peers_suspected")
+                         .Add("count", suspected.size())
+                         .Add("first", suspected.front()));
   }
   const uint32_t version = peer_table_.self_version();
   if (version != logged_version_) {
--- a/lib/Fleet/fleet_task.cc
+++ b/lib/Fleet/fleet_task.cc
@@ -400,9 +400,10 @@
                        .Add("fence", election_.fence()));
   parts_.engines.SendCommand(
       step, election_.fence(), [this, step](command_result end) {
-        parts_.log.Write(log_class::kStateChange, log_line("order_ended")
-                                                 .Add("upstream", step.upstream)
-                                                 .Add("end", ToString(end)));
+        parts_.log.Write(log_class::kStateChange,
+                         log_line("order_ended")
+                             .Add("upstream", step.upstream)
+                             .Add("end", ToString(end)));
         rollout_.OnCommandResult(ReadBootClock(), step.upstream, end);
       });
 }
--- a/lib/Fleet/item_watcher.cc
+++ b/lib/Fleet/item_watcher.cc
@@ -45,8 +45,8 @@
 void item_watcher::SetFollowing(bool follows) {
   if (std::exchange(is_following_, follows) != follows) {
     log_.Write(log_class::kStateChange, log_line("store_following")
-                                       .Add("follows", follows)
-                                       .Add("revision", view_.revision()));
+                                            .Add("follows", follows)
+                                            .Add("revision", view_.revision()));
   }
   if (follows && !is_busy_) {
     Next();
@@ -155,11 +155,11 @@
     return;
   }
   log_.Write(log_class::kStateChange, log_line("items_from_peer")
-                                     .Add("peer", request.peer)
-                                     .Add("took_ms", request.elapsed)
-                                     .Add("before", before)
-                                     .Add("revision", reply.revision)
-                                     .Add("items", reply.items.size()));
+                                          .Add("peer", request.peer)
+                                          .Add("took_ms", request.elapsed)
+                                          .Add("before", before)
+                                          .Add("revision", reply.revision)
+                                          .Add("items", reply.items.size()));
   handlers_.on_change(changed);
 }
 
