--- a/test/process/platform_explain.sh
+++ b/test/process/platform_explain.sh
@@ -22,8 +22,8 @@
 explained refused-1 "attempt_failed.*answer=refused" \
   "request_ended.*outcome=not_run.*status=503"
 
-# Truncated: the engine closed the connection, and the route does not allow to
-# resume the stream.
+# Truncated: the engine closed the connection, and the route does not allow
+# resuming the stream.
 ask 0 cut-1 /stream/cut/x || true
 explained cut-1 "attempt_failed.*answer=broken" \
   "request_ended.*outcome=unknown.*reason=answer_broken"
--- a/unittests/Admission/limit_fleet_test.cc
+++ b/unittests/Admission/limit_fleet_test.cc
@@ -18,8 +18,8 @@
 
 constexpr double kWindowSeconds = kLimitWindow.count();
 constexpr double kRunSeconds = 40;
-/// A daemon must respect a limit from this time on after it has forwarded a
-/// response that advertises it.
+/// Time from a daemon's first forwarded response with the limit until the
+/// daemon must obey the limit.
 constexpr double kComplianceDelaySeconds = 0.5;
 
 quota_fleet::load Callers(size_t daemons, std::function<double(double)> rate) {
--- a/unittests/Fleet/store_fleet.h
+++ b/unittests/Fleet/store_fleet.h
@@ -34,7 +34,7 @@
   /// Returns the daemons that follow the store now.
   std::set<size_t> Followers() const;
   /// Changes an item, and returns the time until all daemons that reach the
-  /// store have the change, at max_time \p max_time.
+  /// store have the change, at most \p max_time.
   duration ConvergenceTime(duration max_time);
   size_t calls() const { return calls_; }
 
--- a/unittests/Fleet/weights_rollout_test.cc
+++ b/unittests/Fleet/weights_rollout_test.cc
@@ -81,9 +81,8 @@
 
 // Guards against requests that start on weights superseded over 6 s ago:
 // versions 2, 3 and 4 are published at intervals of 2.4 s, faster than all
-// engines change. In command of ids, the first engines would change each time
-// and
-// the last ones never.
+// engines change. In the order of their ids, the first engines would change
+// each time and the last ones never.
 TEST_F(weights_rollout_test, ChangesOldestWeightsFirst) {
   wanted_[0].version = 4;
   for (int i = 0; i < 12; ++i) {
--- a/unittests/Routing/cache_planner_test.cc
+++ b/unittests/Routing/cache_planner_test.cc
@@ -105,7 +105,7 @@
 
 // Guards against a store's link that is saturated by prompts which are never
 // requested again: a request's unshared tokens are saved along with the shared
-// prefix, so it must not be saved with every request.
+// prefix, so a prefix must be saved again only after its lifetime.
 TEST_F(cache_planner_test, SavesAPrefixAgainOnlyAfterItsLifetime) {
   prefixes_.RecordSaved(now_, 7, replicas_.WeightsAt(0, "m"));
   EXPECT_FALSE(Plan(0).sink.has_value());
--- a/utils/replica_stand_in/replica_stand_in.cc
+++ b/utils/replica_stand_in/replica_stand_in.cc
@@ -26,9 +26,9 @@
 //   GET /control/departed/1     prints `departed ATTEMPT TIME` for each request
 //                               and changes nothing else
 //
-// Requests that arrive more than 500 ms after the first response that announced
-// it also print `in_rest ATTEMPT` (until the backoff ends) or
-// `while_leaving ATTEMPT`.
+// A request that arrives more than 500 ms after the first response that asked
+// for the backoff or announced the departure also prints `in_rest ATTEMPT`
+// (until the backoff ends) or `while_leaving ATTEMPT`.
 #include <event2/event.h>
 
 #include <chrono>
@@ -332,7 +332,7 @@
   clock::time_point backoff_until_{};
   bool is_leaving_ = false;
   bool has_departed_ = false;
-  /// When the first response announced it.
+  /// When a response first announced that this upstream is leaving.
   clock::time_point leaving_announced_at_{};
   limit_meter meter_;
   loop_timer timer_;
