--- a/test/process/platform_retry_budget.sh
+++ b/test/process/platform_retry_budget.sh
@@ -19,8 +19,8 @@
   retries | awk '{ at[NR] = $1; while ($1 - at[first + 1] >= 10000) ++first
     if (NR - first > most) most = NR - first } END { print most + 0 }'
 }
-# refuse_many NAME: sends SLACK requests that upstreams refuse to each of the two
-# daemons, together twice as many as the retry budget allows to retry.
+# refuse_many NAME: sends SLACK requests that upstreams refuse to each of the
+# two daemons, together twice as many as the retry budget allows to retry.
 refuse_many() {
   local i
   for ((i = 0; i < 2 * SLACK; ++i)); do
--- a/test/process/platform_weights.sh
+++ b/test/process/platform_weights.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Checks that one leader at a time commands each engine to load new weights, once
-# per version, also after the leader was killed. Each request names the version
-# that it was placed for, and the stand-in rejects any version but its own.
+# Checks that one leader at a time commands each engine to load new weights,
+# once per version, also after the leader was killed. Each request names the
+# version that it was placed for, and the stand-in rejects any but its own.
 source "$(dirname "$0")/platform.sh"
 start_platform 2
 wait_for 10 eval 'grep -hq lead_taken "$WORK"/entry-?.log'
