--- a/include/cuminswitch/Admission/quota_policy.h
+++ b/include/cuminswitch/Admission/quota_policy.h
@@ -18,7 +18,7 @@
 
 /// A caller's request that counts against a quota.
 struct quota_request {
-  /// Identifies the request at whoever submits it; not 0.
+  /// Identifies the request to its submitter; not 0.
   uint64_t ticket = 0;
   /// Hash of the subject's name.
   uint64_t subject = 0;
--- a/include/cuminswitch/Admission/retry_budget.h
+++ b/include/cuminswitch/Admission/retry_budget.h
@@ -22,8 +22,8 @@
 /// window has passed: the previous process on this host may just have spent
 /// that share, and the number of daemons that divide the burst may not be known
 /// yet. Retries earned within the window may be spent at once: one crash loses
-/// the responses of some seconds. Of 63 daemons with a token bucket of two
-/// retries each, most had none left for the second crash.
+/// the responses of several seconds. With a token bucket of two retries per
+/// daemon instead, most of 63 daemons ran out of retries during a single crash.
 class retry_budget {
  public:
   struct options {
--- a/include/cuminswitch/Daemon/gateway_metrics.h
+++ b/include/cuminswitch/Daemon/gateway_metrics.h
@@ -28,7 +28,8 @@
 
 struct gateway_metrics {
   std::map<std::string, workspace_metrics, std::less<>> workspaces;
-  /// Time from a request being read to its first dispatch.
+  /// The daemon's own share of the time to first token: from the request being
+  /// read to its first dispatch, including any wait for capacity.
   latency_histogram dispatch_delay;
 
   workspace_metrics& Of(const std::string& workspace) {
--- a/include/cuminswitch/Fleet/follower_selection.h
+++ b/include/cuminswitch/Fleet/follower_selection.h
@@ -10,8 +10,8 @@
 
 struct daemon_record;
 
-/// Returns whether the daemon \p self follows the store, given its peers \p
-/// alive. In a large fleet two daemons of each failure domain do (one where
+/// Returns whether the daemon \p self follows the store, where \p alive are its
+/// peers. In a large fleet two daemons of each failure domain do (one where
 /// there are six or more domains), and the others receive changes from them.
 /// This limits the load on the store: a fleet of 84 made 12,900 calls in 34 s
 /// when all daemons followed, and 2,100 with two per domain; a fleet of 95 in
--- a/include/cuminswitch/Fleet/item_view.h
+++ b/include/cuminswitch/Fleet/item_view.h
@@ -72,8 +72,8 @@
 
  private:
   bool Apply(const item_change& change);
-  /// Drops the oldest records of removed items, and adds their keys to \p
-  /// changed.
+  /// Drops the oldest records of removed items, and adds the keys of these to
+  /// \p changed.
   void PruneRemoved(std::vector<std::string>& changed);
 
   entry_map entries_;
--- a/include/cuminswitch/Fleet/staleness_tracker.h
+++ b/include/cuminswitch/Fleet/staleness_tracker.h
@@ -32,9 +32,9 @@
 
   /// Records a reply of the store to this daemon at \p at.
   void OnStoreReply(time_point at);
-  /// Records \p reported by a peer. If \p is_behind, the peer has a newer
-  /// revision than this daemon, so the record does not prove that this daemon's
-  /// items are complete.
+  /// Applies the freshness record \p reported, which a peer sent. If
+  /// \p is_behind, this daemon has an older revision than the peer, so the
+  /// record does not prove that this daemon's items are complete.
   void OnPeerReport(time_point now,
                     const freshness_record& reported,
                     bool is_behind);
--- a/lib/Admission/quota_owner.cc
+++ b/lib/Admission/quota_owner.cc
@@ -4,10 +4,11 @@
 
 namespace cuminswitch {
 
-/// A subject without a reported level starts with the units of this time. With
-/// the whole burst, it would be granted twice after all daemons were killed at
-/// once and lost their state; a restart takes longer than this from the kill to
-/// the first request.
+/// A subject without a reported level starts with the units of this time. If it
+/// started with the whole burst, the burst would be granted twice after all
+/// daemons were killed at once and lost their state. A restart takes longer
+/// than this from the kill to the first request, so these units have accrued by
+/// then.
 static constexpr duration kInitialCredit = std::chrono::milliseconds(500);
 /// How long a daemon counts as a requester after its last query.
 static constexpr duration kRequesterLifetime = std::chrono::seconds(2);
--- a/lib/Core/request_refusals.cc
+++ b/lib/Core/request_refusals.cc
@@ -49,8 +49,8 @@
                                 const placement& chosen,
                                 double local_queue_seconds,
                                 action_list& out) {
-  // For a request that was sent before, part of the work is done or a retry was
-  // granted.
+  // A request that was sent before is not refused: part of its work is done, or
+  // it was granted a retry.
   if (item.arrivals > 0 || item.info.prompt_tokens == 0) {
     return false;
   }
--- a/lib/Edge/request_flow.cc
+++ b/lib/Edge/request_flow.cc
@@ -255,8 +255,8 @@
 }
 
 void request_flow::OnCallEnd(upstream_call_result end) {
-  // The call is still on the stack, so it is destroyed only when this function
-  // returns.
+  // The call is still on the stack, so it must not be destroyed before the end
+  // of this function.
   const std::unique_ptr<upstream_call> ended = std::move(call_);
   stall_timer_.Cancel();
   if (end == upstream_call_result::kBroken ||
--- a/lib/Fleet/quarantine_records.cc
+++ b/lib/Fleet/quarantine_records.cc
@@ -5,7 +5,8 @@
 
 namespace cuminswitch {
 
-/// Time after which a request is written again that is still not stored.
+/// Time after which a request is written again whose write failed, or is not
+/// among the stored ones yet.
 static constexpr duration kRetryInterval = std::chrono::seconds(2);
 
 quarantine_records::quarantine_records(options opts, item_store& store)
