--- a/include/cuminswitch/Edge/edge_task.h
+++ b/include/cuminswitch/Edge/edge_task.h
@@ -75,7 +75,8 @@
   void Stop() override;
 
   /// Begins a graceful stop: removes this daemon from the advertised addresses,
-  /// serves the requests in flight, and calls `on_stopped` within the grace.
+  /// still serves the requests that `graceful_stop` accepts and those in
+  /// flight, and calls `on_stopped` within the grace.
   void BeginStop();
   bool IsReady() const;
   /// Returns the daemons that accept requests, including this one if it is
