--- a/test/process/bad_input.sh
+++ b/test/process/bad_input.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# Checks that each kind of invalid request gets a clear error and that the daemon
-# still serves valid requests afterwards.
+# Checks that each kind of invalid request gets a clear error and that the
+# daemon still serves valid requests afterwards.
 source "$(dirname "$0")/harness.sh"
 
 start_cluster 1 "$SOURCE/examples/sneachta.toml" east-1
 address=127.0.0.1:${CALLER_PORTS[0]}
 
-# expect_status STATUS PATTERN PATH [BODY]: checks the status of the response, its
-# text, and that its outcome is not_run.
+# expect_status STATUS PATTERN PATH [BODY]: checks the status of the response,
+# its text, and that its outcome is not_run.
 expect_status() {
   local wanted=$1 pattern=$2
   shift 2
--- a/test/process/engine_crash.sh
+++ b/test/process/engine_crash.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # Symptom: a caller takes a truncated streamed response for a complete one.
 # Sequence: all engines crash in the middle of a streamed response.
-# Cause: the end of a lost connection looks like the end of the response unless the
-#   terminal event, [DONE], is required.
+# Cause: the end of a lost connection looks like the end of the response unless
+#   the terminal event, [DONE], is required.
 source "$(dirname "$0")/harness.sh"
 ENGINE_OPTIONS="--decode-ms 100"
 
--- a/test/process/harness.sh
+++ b/test/process/harness.sh
@@ -1,5 +1,5 @@
-# Sourced by the process tests: creates a scratch folder, stops all processes and
-# removes the folder on exit, and defines helpers.
+# Sourced by the process tests: creates a scratch folder, stops all processes
+# and removes the folder on exit, and defines helpers.
 set -euo pipefail
 SOURCE=$(cd "$(dirname "${BASH_SOURCE[0]}")/../.." && pwd)
 BUILD=${BUILD:?}
@@ -24,8 +24,8 @@
   exit 1
 }
 
-# start_cluster COUNT DOCUMENT DOMAIN...: starts a platform, the upstreams of the
-# configuration document and COUNT daemons, and waits until all are ready.
+# start_cluster COUNT DOCUMENT DOMAIN...: starts a platform, the upstreams of
+# the configuration document and COUNT daemons, and waits until all are ready.
 start_cluster() {
   local count=$1 document=$2 port
   shift 2
--- a/test/process/once_over_hosts.sh
+++ b/test/process/once_over_hosts.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # Symptom: a request that must run at most once runs twice.
-# Sequence: a request is sent and repeated through every host; a host is killed and
-#   the request repeated; a host is paused with SIGSTOP past every time-out while
-#   requests go to the others, and resumed; the platform is down for 3 s.
+# Sequence: a request is sent and repeated through every host; a host is killed
+#   and the request repeated; a host is paused with SIGSTOP past every time-out
+#   while requests go to the others, and resumed; the platform is down for 3 s.
 # Cause: a host that starts a key without writing the shard journal.
 source "$(dirname "$0")/harness.sh"
 CREDENTIAL=example-drivers
--- a/test/process/platform.sh
+++ b/test/process/platform.sh
@@ -15,22 +15,22 @@
     "{\"precondition\":[],\"puts\":[],\"remove\":[\"$1\"]}" >/dev/null
 }
 
-# start_store: starts a store that also listens at SECOND, where faults can be set
-# separately.
+# start_store: starts a store that also listens at SECOND, where faults can be
+# set separately.
 start_store() {
   start_stand_in store store_stand_in --second 127.0.0.1:0
   STORE=$ADDRESS
   SECOND=$(sed -n 's/^also listening on //p' "$WORK/store.log")
 }
 
-# store_fault MODE [NAME]: sets the fault mode refuse, silent, lost or none. With
-# NAME, only for calls whose Host is that name.
+# store_fault MODE [NAME]: sets the fault mode refuse, silent, lost or none.
+# With NAME, only for calls whose Host is that name.
 store_fault() {
   "$BUILD/utils/fetch" "$STORE" "/fault?mode=$1${2:+&at=$2}" - >/dev/null
 }
 
-# has_lost_store INDEX, has_store INDEX: whether the daemon has lost the store, by
-# the last such event in its log.
+# has_lost_store INDEX, has_store INDEX: whether the daemon has lost the store,
+# by the last such event in its log.
 has_lost_store() {
   [[ $(grep -oE '"event":"dependency_(lost|regained)"' "$WORK/entry-$1.log" |
     tail -1) == *lost* ]]
@@ -40,8 +40,8 @@
 # millis: prints the milliseconds of a monotonic clock.
 millis() { awk '{ print int($1 * 1000) }' /proc/uptime; }
 
-# put_configuration VERSION [EXTRA_ROUTE]: writes the configuration. W2_FIELDS are
-# further fields of the workspace w2, each preceded by a comma.
+# put_configuration VERSION [EXTRA_ROUTE]: writes the configuration. W2_FIELDS
+# are further fields of the workspace w2, each preceded by a comma.
 put_configuration() {
   put op/config "{\"version\":$1,\"routes\":[
     {\"name\":\"stream\",\"host\":\"h\",\"path-prefix\":\"/stream/\",
@@ -65,16 +65,16 @@
      {\"name\":\"w2\",\"api-keys\":[\"key2\"]${W2_FIELDS:-}}]}"
 }
 
-# start_replica ID SERVICE [MODEL [VERSION]]: starts an upstream and registers it
-# in the store.
+# start_replica ID SERVICE [MODEL [VERSION]]: starts an upstream and registers
+# it in the store.
 start_replica() {
   start_stand_in "$1" replica_stand_in --id "$1" --model "${3:-}" \
     --version "${4:-1}"
   list_replica "$1" "$2" "$ADDRESS" ready "${3:-}" "${4:-1}"
 }
 
-# list_replica ID SERVICE ADDRESS STATE [MODEL VERSION]: writes the store entry of
-# an upstream.
+# list_replica ID SERVICE ADDRESS STATE [MODEL VERSION]: writes the store entry
+# of an upstream.
 list_replica() {
   local models="[]"
   [[ -n ${5:-} ]] && models="[{\"name\":\"$5\",\"version\":$6}]"
@@ -84,8 +84,8 @@
 }
 
 # start_platform_daemon INDEX: starts a daemon on the ports PORTS[5 * INDEX] to
-# PORTS[5 * INDEX + 4]. BOUNDS are further lines of its [bounds], PROVIDER is the
-# address of the store if not STORE.
+# PORTS[5 * INDEX + 4]. BOUNDS are further lines of its [bounds], PROVIDER is
+# the address of the store if not STORE.
 start_platform_daemon() {
   local i=$1 seeds="${SEEDS:-}"
   cat >"$WORK/entry-$i.toml" <<SETTINGS
@@ -119,9 +119,9 @@
   "$BUILD/utils/fetch" "127.0.0.1:${PORTS[5 * $1 + 1]}" /ready
 }
 
-# start_platform_daemons COUNT [APART]: starts the daemons and waits until all are
-# ready. The daemon APART uses the second address of the store, the others the
-# first.
+# start_platform_daemons COUNT [APART]: starts the daemons and waits until all
+# are ready. The daemon APART uses the second address of the store, the others
+# the first.
 start_platform_daemons() {
   local i PROVIDER
   make_ports $((5 * $1))
@@ -151,8 +151,8 @@
   start_platform_daemons "$1"
 }
 
-# by_run_count NAME...: prints the upstreams in increasing order of the number of
-# requests that they have run.
+# by_run_count NAME...: prints the upstreams in increasing order of the number
+# of requests that they have run.
 by_run_count() {
   local name
   for name in "$@"; do
@@ -160,16 +160,16 @@
   done | sort -n | cut -d' ' -f2
 }
 
-# expect_no_log_line WHAT UPSTREAM: checks that no line in the log of the upstream
-# begins with WHAT.
+# expect_no_log_line WHAT UPSTREAM: checks that no line in the log of the
+# upstream begins with WHAT.
 expect_no_log_line() {
   local count
   count=$(grep -c "^$1" "$WORK/$2.log" || true)
   ((count == 0)) || fail "$2 got $count requests $1"
 }
 
-# ask INDEX ID PATH [KEY]: sends a POST to the daemon as a caller; leaves the body
-# in $WORK/out and the status in $WORK/err.
+# ask INDEX ID PATH [KEY]: sends a POST to the daemon as a caller; leaves the
+# body in $WORK/out and the status in $WORK/err.
 ask() {
   FETCH_HEADERS="Host: h
 X-Attempt-Id: $2
@@ -190,8 +190,8 @@
   done
 }
 
-# expect_status STATUS INDEX ID PATH [KEY]: sends a POST and checks the status of
-# the response.
+# expect_status STATUS INDEX ID PATH [KEY]: sends a POST and checks the status
+# of the response.
 expect_status() {
   local wanted=$1
   shift
--- a/test/process/platform_crash.sh
+++ b/test/process/platform_crash.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Guards against a request that crashes every upstream that runs it: its number of
-# crashes over all daemons is limited, however often its caller retries.
+# Guards against a request that crashes every upstream that runs it: its number
+# of crashes over all daemons is limited, however often its caller retries.
 source "$(dirname "$0")/platform.sh"
 start_platform 3
 for index in 3 4 5 6 7 8; do
@@ -8,8 +8,8 @@
   start_replica "s$index" orders
 done
 
-# crashed NAME: prints the number of upstreams that ran a request whose id begins
-# with NAME, and so crashed.
+# crashed NAME: prints the number of upstreams that ran a request whose id
+# begins with NAME, and so crashed.
 crashed() { cat "$WORK"/[es]?.log | grep -c "^run $1-" || true; }
 # send_to_all NAME PATH: sends the request three times to each daemon and checks
 # that none is served.
@@ -20,8 +20,8 @@
   done
   return 0
 }
-# is_quarantined_everywhere NAME: whether every daemon has quarantined the request
-# of the attempts whose ids begin with NAME.
+# is_quarantined_everywhere NAME: whether every daemon has quarantined the
+# request of the attempts whose ids begin with NAME.
 is_quarantined_everywhere() {
   local digest index
   digest=$(cat "$WORK"/entry-?.log | sed -n \
@@ -32,8 +32,8 @@
       "$WORK/entry-$index.log" || return 1
   done
 }
-# expect_quarantined NAME PATH: checks that the request crashes no further upstream
-# and is refused with 503.
+# expect_quarantined NAME PATH: checks that the request crashes no further
+# upstream and is refused with 503.
 expect_quarantined() {
   local before
   before=$(crashed "$1")
--- a/test/process/platform_departed.sh
+++ b/test/process/platform_departed.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Guards against requests to upstreams whose entries were removed, from daemons that
-# can read this in the store.
+# Guards against requests to upstreams whose entries were removed, from daemons
+# that can read this in the store.
 source "$(dirname "$0")/platform.sh"
 # The last daemon uses the second address of the store, where faults are set
 # separately.
@@ -24,8 +24,8 @@
   done
 }
 
-# One daemon loses and regains the store eight times, while the entry of an upstream
-# is removed. Renewing another entry ends the watch in progress.
+# One daemon loses and regains the store eight times, while the entry of an
+# upstream is removed. Renewing another entry ends the watch in progress.
 ask_all first
 mapfile -t names < <(by_run_count s1 s2 s3 s4)
 renewed=${names[0]} first=${names[3]}
@@ -49,8 +49,8 @@
 done
 expect_no_log_line "run late" "$first"
 
-# lose_store NAME: makes the store unresponsive for all daemons, for longer than the
-# lifetime of its entries.
+# lose_store NAME: makes the store unresponsive for all daemons, for longer than
+# the lifetime of its entries.
 lose_store() {
   local i until
   store_fault silent
@@ -74,8 +74,8 @@
   done
 }
 
-# An entry that is removed after all daemons have regained the store does not count
-# as expired during the outage.
+# An entry that is removed after all daemons have regained the store does not
+# count as expired during the outage.
 lose_store away
 mapfile -t names < <(by_run_count "${names[@]:0:3}")
 second=${names[2]}
@@ -90,8 +90,8 @@
 expect_no_log_line "run after" "$second"
 
 # Upstreams whose entries expire during a store outage are used until they have
-# registered again. Removals through the Host name `operator`, which stays free of
-# the fault, stand for the expiry.
+# registered again. Removals through the Host name `operator`, which stays free
+# of the fault, stand for the expiry.
 lose_store away-again
 store_fault none operator
 for name in "${names[@]:0:2}"; do
--- a/test/process/platform_explain.sh
+++ b/test/process/platform_explain.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Checks for three kinds of failed requests that `cuminctl explain` leads from the
-# id to the cause, as in docs/OPERATIONS.md.
+# Checks for three kinds of failed requests that `cuminctl explain` leads from
+# the id to the cause, as in docs/OPERATIONS.md.
 source "$(dirname "$0")/platform.sh"
 start_platform 2
 
-# explained ID PATTERN...: checks that the explanation of the request contains each
-# pattern.
+# explained ID PATTERN...: checks that the explanation of the request contains
+# each pattern.
 explained() {
   local id=$1 pattern
   shift
--- a/test/process/platform_followers.sh
+++ b/test/process/platform_followers.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Guards against stale configuration in a daemon that reaches the store but waits for
-# followers that have lost it.
+# Guards against stale configuration in a daemon that reaches the store but
+# waits for followers that have lost it.
 source "$(dirname "$0")/platform.sh"
 # The daemon SPARED uses the first address of the store, which never fails; the
 # others use the second.
@@ -31,8 +31,8 @@
   ask "$1" "ask-$1-$RANDOM" "$2"
 }
 
-# The set of followers is stable once a change has reached all daemons and only two
-# still follow the store.
+# The set of followers is stable once a change has reached all daemons and only
+# two still follow the store.
 change 2 /calm/
 for ((i = 0; i < COUNT; ++i)); do
   wait_for 10 serves "$i" /calm/x
--- a/test/process/platform_limit.sh
+++ b/test/process/platform_limit.sh
@@ -1,18 +1,18 @@
 #!/usr/bin/env bash
 # Symptom: an overloaded engine gets two to three times the rate limit that it
 # advertises, in requests/s, also from daemons that forwarded its responses.
-# Sequence: three daemons share two engines; the engine that has cached the shared
-# prefix of the prompts, and so gets nearly all of them, advertises 1 request/s;
-# callers send at the same rate as before.
+# Sequence: three daemons share two engines; the engine that has cached the
+# shared prefix of the prompts, and so gets nearly all of them, advertises 1
+# request/s; callers send at the same rate as before.
 # Cause: daemons ignored the limit: the arrivals over all daemons were the same
 # before and after it was advertised, and grew where a daemon's callers moved to
-# others. Daemons that obey the limit without sharing it exceed it by a factor of
-# the number of daemons.
+# others. Daemons that obey the limit without sharing it exceed it by a factor
+# of the number of daemons.
 source "$(dirname "$0")/platform.sh"
 start_platform 3
 
-# set_limit ENGINE RATE: lets the engine advertise the limit from its next response
-# on; none for no limit.
+# set_limit ENGINE RATE: lets the engine advertise the limit from its next
+# response on; none for no limit.
 set_limit() {
   local address
   address=$(sed -n 's/^listening on //p' "$WORK/$1.log")
@@ -20,8 +20,8 @@
 }
 # runs_at ENGINE: prints the number of requests that it has run.
 runs_at() { grep -c "^run " "$WORK/$1.log" || true; }
-# ask_many SECONDS NAME: sends requests to the daemons in rotation, without a pause;
-# each must be served.
+# ask_many SECONDS NAME: sends requests to the daemons in rotation, without a
+# pause; each must be served.
 ask_many() {
   local until=$((SECONDS + $1)) i
   for ((i = 0; SECONDS < until; ++i)); do
@@ -39,7 +39,8 @@
 preferred=e1
 (($(runs_at e2) > $(runs_at e1))) && preferred=e2
 set_limit $preferred 1
-# One daemon receives the limit from the upstream, and the others from that daemon.
+# One daemon receives the limit from the upstream, and the others from that
+# daemon.
 ask 0 first /stream/x
 named="\"event\":\"limit_named\",\"upstream\":\"$preferred\",\"from\""
 wait_for 5 grep -q "$named:\"answer\"" "$WORK/entry-0.log"
@@ -49,8 +50,8 @@
 ask_many 10 limited
 grep -q "^over_limit" "$WORK/$preferred.log" &&
   fail "more requests than the limit: $(grep "^over_limit" "$WORK/$preferred.log" | tail -1)"
-# `cuminctl explain` shows the limit of the upstream for the id of a request that
-# was not sent there.
+# `cuminctl explain` shows the limit of the upstream for the id of a request
+# that was not sent there.
 id=$(grep -ho '"event":"limit_turned_away","id":"[^"]*"' "$WORK"/entry-?.log |
   head -1 | sed 's/.*"id":"\(.*\)"/\1/')
 "$BUILD/tools/cuminctl" explain "$id" "$WORK"/entry-?.log >"$WORK/explanation"
@@ -60,8 +61,9 @@
 grep -q "^cuminswitch_upstream_rate_limit{upstream=\"$preferred\"} 1$" "$WORK/page" ||
   fail "no limit on the metrics page: $(grep limit "$WORK/page")"
 
-# The limit ends, by a response without it or because no response renews it. Then
-# the other engine advertises one, and the first gets requests without a limit.
+# The limit ends, by a response without it or because no response renews it.
+# Then the other engine advertises one, and the first gets requests without a
+# limit.
 set_limit $preferred none
 ask_many 4 between
 for index in 0 1 2; do
--- a/test/process/platform_notices.sh
+++ b/test/process/platform_notices.sh
@@ -1,18 +1,20 @@
 #!/usr/bin/env bash
-# Guards against requests to upstreams that asked for backoff or announced that they
-# leave.
+# Guards against requests to upstreams that asked for backoff or announced that
+# they leave.
 source "$(dirname "$0")/platform.sh"
 start_platform 1
 start_replica e3 engines m
 start_replica s3 orders
 
-# control UPSTREAM WHAT: changes the behaviour of the upstream by its /control/ path.
+# control UPSTREAM WHAT: changes the behaviour of the upstream by its /control/
+# path.
 control() {
   local address
   address=$(sed -n 's/^listening on //p' "$WORK/$1.log")
   "$BUILD/utils/fetch" "$address" "/control/$2" >/dev/null
 }
-# ask_for SECONDS NAME PATH: sends requests without a pause; each must be served.
+# ask_for SECONDS NAME PATH: sends requests without a pause; each must be
+# served.
 ask_for() {
   local until=$((SECONDS + $1)) i
   for ((i = 0; SECONDS < until; ++i)); do
@@ -41,8 +43,8 @@
 (($(grep -c "^run" "$WORK/$engine.log") > before)) ||
   fail "$engine got no requests after its backoff"
 
-# All ask for backoff: requests are refused at once, with the time until the first
-# backoff ends.
+# All ask for backoff: requests are refused at once, with the time until the
+# first backoff ends.
 for index in 1 2 3; do
   control "s$index" rest/4
 done
--- a/test/process/platform_path.sh
+++ b/test/process/platform_path.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks requests from caller to upstream, with a store, for each kind of route and
-# of failure.
+# Checks requests from caller to upstream, with a store, for each kind of route
+# and of failure.
 source "$(dirname "$0")/platform.sh"
 start_platform 2
 
@@ -36,8 +36,8 @@
 DEADLINE_MS=400 expect_status 504 0 b6 /once/hang/x
 [[ $(runs b6) == 1 ]] || fail "b6 ran $(runs b6) times"
 
-# A truncated stream is resumed at another engine if its route allows it, with each
-# event once; otherwise its end is an error.
+# A truncated stream is resumed at another engine if its route allows it, with
+# each event once; otherwise its end is an error.
 earn_retries 0 /resume/x
 ask 0 c1 /resume/cut/x
 [[ $(grep "^id:" "$WORK/out" | tr -d '\n') == "id: 1id: 2id: 3id: 4id: 5" ]] ||
--- a/test/process/platform_quota.sh
+++ b/test/process/platform_quota.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Checks the quota of a workspace over two daemons, and that `cuminctl explain` shows
-# whether the quota or the load refused a request, as in docs/OPERATIONS.md.
+# Checks the quota of a workspace over two daemons, and that `cuminctl explain`
+# shows whether the quota or the load refused a request, as in
+# docs/OPERATIONS.md.
 source "$(dirname "$0")/platform.sh"
 start_platform 2
 
@@ -18,8 +19,8 @@
   grep -q "$2" "$WORK/page"
 }
 
-# At 1 token/s and a burst of 100, a request of 110 tokens uses nearly two minutes of
-# the quota, so that the next one is over it even on a slow machine.
+# At 1 token/s and a burst of 100, a request of 110 tokens uses nearly two
+# minutes of the quota, so that the next one is over it even on a slow machine.
 W2_FIELDS=',"unit":"tokens","rate-per-s":1,"burst":100,"uncached-tokens":200'
 put_configuration 2
 wait_for 5 knows_configuration 2
--- a/test/process/platform_retry_budget.sh
+++ b/test/process/platform_retry_budget.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Guards against restarted daemons that spend the retry budget of the fleet again
-# within one window of 10 s.
+# Guards against restarted daemons that spend the retry budget of the fleet
+# again within one window of 10 s.
 source "$(dirname "$0")/platform.sh"
 SLACK=16
 BOUNDS="retry-ratio = 0
--- a/test/process/platform_slow_callers.sh
+++ b/test/process/platform_slow_callers.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Guards against a daemon that runs out of memory when hundreds of slow callers have
-# sent large request bodies in part. Other callers must still be served.
+# Guards against a daemon that runs out of memory when hundreds of slow callers
+# have sent large request bodies in part. Other callers must still be served.
 MEMORY_MB=88
 source "$(dirname "$0")/platform.sh"
 start_platform 1
--- a/test/process/platform_stop.sh
+++ b/test/process/platform_stop.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks that a stopping daemon is removed from resolved addresses at once, is not
-# ready, still serves requests, and exits in time with status 0.
+# Checks that a stopping daemon is removed from resolved addresses at once, is
+# not ready, still serves requests, and exits in time with status 0.
 source "$(dirname "$0")/platform.sh"
 start_platform 2
 wait_for 5 eval '"$BUILD/utils/fetch" "$(directory 0)" "/resolve?name=h" |
--- a/test/process/platform_store_outage.sh
+++ b/test/process/platform_store_outage.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Symptom: a daemon that cannot reach the store keeps an outdated configuration, or
-# one that starts during the outage refuses valid requests.
-# Sequence: the store refuses calls, is unresponsive, and recovers; daemons serve
-# requests and start meanwhile.
+# Symptom: a daemon that cannot reach the store keeps an outdated configuration,
+# or one that starts during the outage refuses valid requests.
+# Sequence: the store refuses calls, is unresponsive, and recovers; daemons
+# serve requests and start meanwhile.
 source "$(dirname "$0")/platform.sh"
 start_platform 2
 
@@ -15,7 +15,8 @@
   wait_for 10 eval 'tail -50 "$WORK/entry-0.log" | grep -q dependency_regained'
 done
 
-# A daemon that starts while the store is unavailable gets all entries from a peer.
+# A daemon that starts while the store is unavailable gets all entries from a
+# peer.
 store_fault refuse
 kill -9 "${DAEMON_PIDS[1]}"
 : >"$WORK/entry-1.log"
--- a/test/process/platform_turned_away.sh
+++ b/test/process/platform_turned_away.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Guards against requests to a draining upstream from a daemon that cannot reach the
-# store and must get the change from its peers.
+# Guards against requests to a draining upstream from a daemon that cannot reach
+# the store and must get the change from its peers.
 source "$(dirname "$0")/platform.sh"
 COUNT=3
 start_store
@@ -12,8 +12,9 @@
 done
 start_platform_daemons $COUNT 0
 
-# check_draining ROUND MODE PEER STOP_MS: an upstream starts draining while the first
-# daemon cannot reach the store, and STOP_MS later a peer that it may ask is paused.
+# check_draining ROUND MODE PEER STOP_MS: an upstream starts draining while the
+# first daemon cannot reach the store, and STOP_MS later a peer that it may ask
+# is paused.
 check_draining() {
   local name=s$((1 + $1 % 2)) drained phase stopped=0
   store_fault "$2" "$SECOND"
--- a/test/process/platform_weights.sh
+++ b/test/process/platform_weights.sh
@@ -24,8 +24,8 @@
   == 1 ]] || fail "commands of two leaders or with two fencing tokens"
 wait_for 10 eval 'ask 0 w$RANDOM /stream/x'
 
-# After the leader is killed, the other daemon takes the leadership, waits for the
-# handover gap, and sends commands with a new fencing token.
+# After the leader is killed, the other daemon takes the leadership, waits for
+# the handover gap, and sends commands with a new fencing token.
 leader=$(grep -l lead_taken "$WORK"/entry-?.log | sed 's/.*entry-\(.\).log/\1/')
 kill -9 "${DAEMON_PIDS[$leader]}"
 put op/version/m '{"model":"m","version":3}'
--- a/test/process/start_errors.sh
+++ b/test/process/start_errors.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks that programs which cannot start report the reason and the matching exit
-# status.
+# Checks that programs which cannot start report the reason and the matching
+# exit status.
 source "$(dirname "$0")/harness.sh"
 
 # expect_exit STATUS PATTERN COMMAND...: checks the exit status and the output.
--- a/utils/check_wire_names.sh
+++ b/utils/check_wire_names.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Fails when a protocol name of the users' platform is used outside platform/ and
-# its tests, so that the product can be read without the platform's
+# Fails when a protocol name of the users' platform is used outside platform/
+# and its tests, so that the product can be read without the platform's
 # documentation.
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/utils/cluster.sh
+++ b/utils/cluster.sh
@@ -1,6 +1,6 @@
-# Shell functions that start stand-ins and daemons on loopback, and stop only the
-# processes that they started. Sourced by demo.sh, experiment.sh and the process
-# tests.
+# Shell functions that start stand-ins and daemons on loopback, and stop only
+# the processes that they started. Sourced by demo.sh, experiment.sh and the
+# process tests.
 #
 # BUILD is the build folder, WORK a scratch folder that the caller removes.
 
@@ -19,8 +19,8 @@
   started_pids=()
 }
 
-# wait_for SECONDS COMMAND...: retries the command until it succeeds; fails after
-# SECONDS.
+# wait_for SECONDS COMMAND...: retries the command until it succeeds; fails
+# after SECONDS.
 wait_for() {
   local deadline=$((SECONDS + $1))
   shift
@@ -33,8 +33,8 @@
   done
 }
 
-# start_stand_in NAME PROGRAM OPTION...: starts the stand-in on a free port; sets
-# ADDRESS to its address and PID to its process id.
+# start_stand_in NAME PROGRAM OPTION...: starts the stand-in on a free port;
+# sets ADDRESS to its address and PID to its process id.
 start_stand_in() {
   local log="$WORK/$1.log"
   shift
@@ -50,8 +50,8 @@
   mapfile -t PORTS < <("$BUILD/utils/free_ports" "$1")
 }
 
-# write_settings INDEX FAILURE_DOMAIN PLATFORM CALLER_PORT PEER_PORT SEEDS: writes
-# the settings of the daemon on host entry-INDEX. TIME_TO_LIVE and POLICY
+# write_settings INDEX FAILURE_DOMAIN PLATFORM CALLER_PORT PEER_PORT SEEDS:
+# writes the settings of the daemon on host entry-INDEX. TIME_TO_LIVE and POLICY
 # override two of them.
 write_settings() {
   cat >"$WORK/entry-$1.toml" <<SETTINGS
--- a/utils/experiment.sh
+++ b/utils/experiment.sh
@@ -5,9 +5,9 @@
 #   utils/experiment.sh OUTPUT.jsonl WORKLOAD RATE SECONDS "SEEDS" "POLICIES" \
 #     [LOAD_TOOL_OPTION...]
 #
-# HOSTS sets the number of daemons (default 8). Engines cache CACHE_BLOCKS blocks
-# of 64 tokens (default 900) for CACHE_KEEP_MS after their last use (default
-# 8000).
+# HOSTS sets the number of daemons (default 8). Engines cache CACHE_BLOCKS
+# blocks of 64 tokens (default 900) for CACHE_KEEP_MS after their last use
+# (default 8000).
 set -euo pipefail
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build}
--- a/utils/soak.sh
+++ b/utils/soak.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Runs the fault-injection soak test for a range of seeds, several at a time, and
-# prints the result of each. The logs of seeds with a violation stay in WORK.
+# Runs the fault-injection soak test for a range of seeds, several at a time,
+# and prints the result of each. The logs of seeds with a violation stay in
+# WORK.
 #
 #   utils/soak.sh FIRST LAST [SECONDS [AT_A_TIME]]
 #
