--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# `make demo` and `make check` do all that they need, packages included.
+# `make demo` and `make check` install the packages and build all they need.
 BUILD ?= build
 
 .PHONY: all setup build check demo format format-check lint bench sanitize clean generate
@@ -19,7 +19,7 @@
 	  ctest --test-dir $(BUILD) --output-on-failure -j 4 -E "$$red"; \
 	else ctest --test-dir $(BUILD) --output-on-failure -j 4; fi
 
-# The tests that own sockets and callbacks, under the address sanitizer.
+# Tests of code that owns sockets and callbacks, run under AddressSanitizer.
 SANITIZED = daemon_test net_test once_test core_test scenario_test http1_test \
 	fleet_test edge_test log_test platformadapter_test
 sanitize: setup
@@ -32,7 +32,7 @@
 demo: build
 	@BUILD=$(BUILD) bash utils/demo.sh
 
-# Regenerates the committed code; needs the package flatbuffers-compiler.
+# Regenerates the FlatBuffers code in generated/; needs the package flatbuffers-compiler.
 generate:
 	@flatc --cpp -o generated lib/Wire/peer.fbs lib/Records/records.fbs \
 	  lib/Fleet/fleet.fbs
--- a/benchmarks/core_benchmark.cc
+++ b/benchmarks/core_benchmark.cc
@@ -1,5 +1,5 @@
-// What single steps of the decision core cost at the size that docs/CAPACITY.md
-// designs for.
+// Cost of single steps of the decision core at the deployment size of
+// docs/CAPACITY.md.
 #include <benchmark/benchmark.h>
 
 #include <string>
@@ -84,7 +84,8 @@
 }
 BENCHMARK(ParseWholeDocument)->Unit(benchmark::kMillisecond);
 
-/// What a daemon does for one changed workspace: one chunk, and the merge.
+/// Work of a daemon when one workspace changes: parsing one chunk and merging
+/// all fragments.
 void AdoptOneChangedChunk(benchmark::State& state) {
   const std::vector<std::string> chunks = WriteChunks(MakeLargeConfiguration());
   std::vector<configuration> fragments;
--- a/utils/StandIn/free_ports.cc
+++ b/utils/StandIn/free_ports.cc
@@ -11,10 +11,11 @@
 
 static constexpr int kFirstPort = 10'000;
 static constexpr int kPortCount = 20'000;
-/// Processes that run side by side begin far from each other.
+/// Ports between the first candidates of consecutive process ids, so that
+/// programs started together rarely try the same ports.
 static constexpr int kStride = 97;
 
-/// Returns a socket bound to \p port, or -1 when it is taken.
+/// Returns a socket bound to loopback \p port, or -1 when the port is in use.
 static int BindPort(uint16_t port) {
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
   const sockaddr_in address =
@@ -34,7 +35,8 @@
   for (int i = 0; i < kPortCount && ports.size() < count; ++i) {
     const auto port =
         static_cast<uint16_t>(kFirstPort + (start + i) % kPortCount);
-    // Held until all are chosen, so that no port comes twice.
+    // Sockets stay bound until all ports are chosen, so that none is returned
+    // twice.
     if (const int fd = BindPort(port); fd >= 0) {
       sockets.push_back(fd);
       ports.push_back(port);
@@ -44,7 +46,7 @@
     close(fd);
   }
   if (ports.size() < count) {
-    throw std::runtime_error("no free port");
+    throw std::runtime_error("fewer free ports than requested");
   }
   return ports;
 }
--- a/utils/StandIn/free_ports.h
+++ b/utils/StandIn/free_ports.h
@@ -1,5 +1,5 @@
 /// \file
-/// Ports for programs that must know their addresses before they run.
+/// Chooses ports for programs whose addresses must be known before they start.
 #ifndef CUMINSWITCH_UTILS_STANDIN_FREE_PORTS_H_
 #define CUMINSWITCH_UTILS_STANDIN_FREE_PORTS_H_
 
@@ -9,11 +9,10 @@
 
 namespace cuminswitch {
 
-/// Returns loopback ports that were free a moment ago. They lie below the range
-/// from which the system gives ports to sockets that ask for any: from within
-/// it, another process' connection could take one before the program listens,
-/// which would show as a daemon that now and then cannot start. Throws
-/// `std::runtime_error` when there are not so many.
+/// Returns \p count loopback ports that were free at the time of the call. They
+/// lie below the ephemeral port range: another process' connection could take a
+/// port within that range before the program listens on it, and daemons would
+/// occasionally fail to start. Throws `std::runtime_error` when fewer are free.
 std::vector<uint16_t> FindFreePorts(size_t count);
 
 }  // namespace cuminswitch
--- a/utils/StandIn/limit_bound.h
+++ b/utils/StandIn/limit_bound.h
@@ -1,5 +1,6 @@
 /// \file
-/// What an upstream that names a limit may get.
+/// Bound on the requests that an upstream with an advertised rate limit
+/// receives.
 #ifndef CUMINSWITCH_UTILS_STANDIN_LIMIT_BOUND_H_
 #define CUMINSWITCH_UTILS_STANDIN_LIMIT_BOUND_H_
 
@@ -7,11 +8,12 @@
 
 namespace cuminswitch {
 
-/// Any span of this length counts.
+/// Length of the sliding window to which the bound applies.
 inline constexpr std::chrono::seconds kLimitWindow{4};
 
-/// Returns the requests that may come within `kLimitWindow` at an upstream that
-/// takes \p rate a second: half as many again, and five.
+/// Returns the most requests that an upstream with a limit of \p rate requests
+/// per second may receive within any `kLimitWindow`: one and a half times the
+/// limit, plus five.
 constexpr double AllowedByLimit(double rate) {
   constexpr double kShare = 1.5;
   constexpr double kSlack = 5;
--- a/utils/StandIn/prefix_cache.cc
+++ b/utils/StandIn/prefix_cache.cc
@@ -36,7 +36,8 @@
 
 void prefix_cache::Store(const std::vector<uint64_t>& blocks,
                          clock::time_point now) {
-  // From the last to the first, so that a prefix outlives what follows it.
+  // From the last block to the first, so that a prefix is evicted after the
+  // blocks that follow it.
   for (auto it = blocks.rbegin(); it != blocks.rend(); ++it) {
     const auto found = entries_.find(*it);
     if (found != entries_.end()) {
--- a/utils/StandIn/prefix_cache.h
+++ b/utils/StandIn/prefix_cache.h
@@ -1,5 +1,6 @@
-// An engine's prefix cache: hashed blocks in limited memory, least recently
-// used ones evicted, and those unused for long dropped.
+/// \file
+/// Model of an engine's prefix cache: a bounded set of block hashes with LRU
+/// eviction, from which blocks also expire after a time without use.
 #ifndef CUMINSWITCH_UTILS_STANDIN_PREFIX_CACHE_H_
 #define CUMINSWITCH_UTILS_STANDIN_PREFIX_CACHE_H_
 
@@ -16,6 +17,7 @@
  public:
   struct options {
     size_t capacity_blocks = 4096;
+    /// Blocks that were unused for longer are dropped.
     std::chrono::milliseconds keep{10'000};
   };
   using clock = std::chrono::steady_clock;
@@ -25,15 +27,15 @@
 
   explicit prefix_cache(const options& opts) : options_(opts) {}
 
-  /// Splits \p text, within \p scope, into the chained hashes of its whole
-  /// blocks.
+  /// Returns the hash of each full block of \p text, chained from \p scope so
+  /// that it covers all text before it. An incomplete last block is left out.
   static std::vector<uint64_t> HashBlocks(std::string_view text,
                                           uint64_t scope);
 
-  /// Returns how many leading blocks are cached.
+  /// Returns the number of leading \p blocks that are cached at \p now.
   size_t CountCached(const std::vector<uint64_t>& blocks,
                      clock::time_point now);
-  /// Puts all blocks in, or renews them.
+  /// Inserts all blocks, or marks them as used at \p now.
   void Store(const std::vector<uint64_t>& blocks, clock::time_point now);
   void Clear();
   size_t size() const { return entries_.size(); }
--- a/utils/StandIn/stand_in_main.h
+++ b/utils/StandIn/stand_in_main.h
@@ -1,5 +1,6 @@
-// What the stand-in programs share: one event loop, one HTTP server, and a
-// line on standard output that says where it listens.
+/// \file
+/// Main loop of the stand-in programs: one event loop, an HTTP server, and a
+/// line on standard output with the address it listens on.
 #ifndef CUMINSWITCH_UTILS_STANDIN_STAND_IN_MAIN_H_
 #define CUMINSWITCH_UTILS_STANDIN_STAND_IN_MAIN_H_
 
@@ -11,17 +12,18 @@
 
 namespace cuminswitch {
 
-/// Makes the program's handler on the loop that it will run on.
+/// Creates the program's request handler for the event loop that it runs on.
 using handler_factory =
     std::function<std::unique_ptr<http_request_handler>(event_base*)>;
 
-/// Serves \p listen until SIGTERM or SIGINT; prints `listening on
-/// <address:port>` first, so port 0 can be used. Serves \p second as well, if
-/// it is not empty, and prints `also listening on <address:port>` before that.
-/// Returns the exit status.
+/// Serves \p listen until SIGTERM or SIGINT, and prints `listening on
+/// <address:port>` once it does, so that port 0 can be used. If
+/// \p second_listen is not empty, serves it as well and prints `also listening
+/// on <address:port>` before the other line. Returns the exit status. Throws
+/// `usage_error` when an address is not a numeric address:port.
 int RunStandIn(const std::string& listen,
                const handler_factory& make_handler,
-               const std::string& second = {});
+               const std::string& second_listen = {});
 
 }  // namespace cuminswitch
 
--- a/utils/ask/ask.cc
+++ b/utils/ask/ask.cc
@@ -1,6 +1,6 @@
-// Sends one chat request with a long prompt, as a caller would: asks a daemon
-// which host to use, connects there, streams the answer, and prints the time
-// to its first token and what was cached.
+// Sends one chat request with a long prompt, as a caller would: fetches the
+// host addresses from a daemon, connects to the first, streams the response,
+// and prints the time to first token and the token usage.
 #include <event2/event.h>
 
 #include <chrono>
@@ -39,13 +39,13 @@
     reader.Feed(data);
     text += data;
   }
-  void OnEnd(http_result end_seen) override {
-    end = end_seen;
+  void OnEnd(http_result final_result) override {
+    result = final_result;
     event_base_loopbreak(base_);
   }
 
   uint32_t status = 0;
-  http_result end = http_result::kNotConnected;
+  http_result result = http_result::kNotConnected;
   std::optional<clock::time_point> first_byte;
   answer_reader reader;
   std::string text;
@@ -54,19 +54,19 @@
   event_base* base_;
 };
 
-endpoint AskAddress(const endpoint& daemon, const std::string& credential) {
+endpoint FetchAddress(const endpoint& daemon, const std::string& credential) {
   const blocking_response response =
       FetchBlocking({.to = daemon,
                      .path = "/v1/addresses",
                      .headers = {{.name = "Authorization",
                                   .value = "Bearer " + credential}}});
   if (response.head.status != 200) {
-    throw std::runtime_error("no address answer: " + response.body);
+    throw std::runtime_error("no addresses from the daemon: " + response.body);
   }
   const auto json = nlohmann::json::parse(response.body);
   const auto address =
       ParseEndpoint(json["addresses"][0]["address"].get<std::string>());
-  std::cout << "address answer: " << response.body;
+  std::cout << "address response: " << response.body;
   return address.value();
 }
 
@@ -95,18 +95,18 @@
   int kilobytes = 48;
   bool direct = false;
   option_parser parser("ask", "[OPTION...]");
-  parser.AddString("daemon", daemon, "Any daemon", "ADDRESS");
+  parser.AddString("daemon", daemon, "Address of any daemon", "ADDRESS");
   parser.AddString("credential", credential, "The workspace's credential");
-  parser.AddString("model", model, "The model");
-  parser.AddInteger("kilobytes", kilobytes, "Length of the shared prefix");
-  parser.AddFlag("direct", direct,
-                 "Use the daemon itself, whatever it answers");
+  parser.AddString("model", model, "Model to request");
+  parser.AddInteger("kilobytes", kilobytes,
+                    "Length of the shared prefix in KiB");
+  parser.AddFlag("direct", direct, "Send the request to the daemon itself");
   parser.Parse(ArgumentsOf(argc, argv));
   const std::optional<endpoint> first = ParseEndpoint(daemon);
   if (!first) {
     throw usage_error("--daemon must be a numeric address:port");
   }
-  const endpoint address = direct ? *first : AskAddress(*first, credential);
+  const endpoint address = direct ? *first : FetchAddress(*first, credential);
   const std::unique_ptr<event_base, base_deleter> base(event_base_new());
   printing_handler handler(base.get());
   const clock::time_point begin = clock::now();
--- a/utils/check_guards.sh
+++ b/utils/check_guards.sh
@@ -1,20 +1,20 @@
 #!/usr/bin/env bash
-# Takes each guard in test/guards out of a scratch copy of the sources and
-# checks that the scenarios it names then fail. A scenario that passes without
-# its guard proves nothing.
+# Mutation test for the scenarios: removes each guard in test/guards from a
+# scratch copy of the sources and checks that the scenarios it names then fail.
+# A scenario that passes without its guard doesn't test it.
 #
 # A guard file holds `prevents:`, `fails:` and `file:` lines, then the guarded
-# text and what stands in its place without the guard, each after a `---` line.
+# text and its replacement without the guard, each after a `---` line.
 #
-#   check_guards.sh [GUARD_FILE]   one guard, or all
-#   check_guards.sh --texts        only that each guarded text is where it says
+#   check_guards.sh [GUARD_FILE]   checks one guard, or all
+#   check_guards.sh --texts        only checks that each guarded text is in its file
 set -euo pipefail
 cd "$(dirname "$0")/.."
 field() { sed -n "s/^$1: //p" "$2"; }
 
-# take_out GUARD SOURCE: puts what stands without the guard in its place; fails
-# when the guarded text is not there.
-take_out() {
+# remove_guard GUARD SOURCE: replaces the guarded text in the source file; fails
+# when the file doesn't contain it.
+remove_guard() {
   perl -e '
     local $/;
     open(my $g, "<", $ARGV[0]); my (undef, $old, $new) = split(/^---\n/m, <$g>);
@@ -31,7 +31,7 @@
   stale=0
   for guard in test/guards/*.guard; do
     cp "$(field file "$guard")" "$scratch/copy"
-    take_out "$guard" "$scratch/copy" && continue
+    remove_guard "$guard" "$scratch/copy" && continue
     echo "STALE  $guard: the guarded text is not in $(field file "$guard")"
     stale=$((stale + 1))
   done
@@ -46,7 +46,7 @@
   name=$(basename "$guard" .guard)
   file=$(field file "$guard")
   cp "$scratch/source/$file" "$scratch/saved"
-  if ! take_out "$guard" "$scratch/source/$file"; then
+  if ! remove_guard "$guard" "$scratch/source/$file"; then
     echo "STALE  $name: the guarded text is not in $file"
     failures=$((failures + 1))
     continue
@@ -70,8 +70,8 @@
   seeds=$("$scratch/build/test/random_schedule_test" 2>/dev/null |
     grep -c "^\[  FAILED  \] .* ms)$" || true)
   echo "       $name: $seeds random schedules fail too"
-  # Newer than the object file, so that the next build compiles it again.
+  # The copy gets a new time stamp, so that the next build compiles it again.
   cp "$scratch/saved" "$scratch/source/$file"
 done
-echo "$failures guards not shown to matter"
+echo "$failures guards without proof from a failing scenario"
 ((failures == 0))
--- a/utils/check_platform_build.sh
+++ b/utils/check_platform_build.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Builds as deploy/system.toml says, into a scratch folder, and asks the result
-# for its help text; its packages must be among those that are installed here.
+# Builds the daemon in a scratch folder with the build type and options of
+# deploy/system.toml and runs its --help. The packages that deploy/system.toml
+# lists must be installed on this machine.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 packages=$(sed -n 's/^packages = \[\(.*\)\]$/\1/p' deploy/system.toml | tr -d '",')
--- a/utils/check_wire_names.sh
+++ b/utils/check_wire_names.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Fails when a name of the users' platform stands outside platform/ and its
-# tests: whoever reads the product must not need the platform's pages.
+# Fails when a protocol name of the users' platform is used outside platform/ and
+# its tests, so that the product can be read without the platform's
+# documentation.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 names='X-(Attempt-Id|Deadline-Ms|Prompt-Prefix|Replica-|Tenant|Not-Executed|Model|Token-Usage|Cache-Salt|Request-Priority|Kv-|Weight-Versions|Expect-|Pin-Ms|Hold|Length-Hint)|Kv-From|Server-Limit'
@@ -9,6 +10,6 @@
 names+='|\b(tenants?|backends?|fleetbench)\b'
 if git grep -nEi "$names" -- include lib tools utils/StandIn benchmarks \
     unittests ':!unittests/PlatformAdapter'; then
-  echo "check_wire_names: the lines above name what only platform/ may name" >&2
+  echo "check_wire_names: the lines above use names that belong to platform/ only" >&2
   exit 1
 fi
--- a/utils/cluster.sh
+++ b/utils/cluster.sh
@@ -1,11 +1,12 @@
-# Shell functions that start stand-ins and daemons on loopback and stop exactly
-# what they started. Sourced by demo.sh and the process tests.
+# Shell functions that start stand-ins and daemons on loopback, and stop only the
+# processes that they started. Sourced by demo.sh, experiment.sh and the process
+# tests.
 #
 # BUILD is the build folder, WORK a scratch folder that the caller removes.
 
 started_pids=()
 
-# stop_all: ends every process that was started, and waits for it.
+# stop_all: kills every process that was started, and waits for it.
 stop_all() {
   local pid
   for pid in "${started_pids[@]}"; do
@@ -18,7 +19,8 @@
   started_pids=()
 }
 
-# wait_for SECONDS COMMAND...: retries the command until it succeeds.
+# wait_for SECONDS COMMAND...: retries the command until it succeeds; fails after
+# SECONDS.
 wait_for() {
   local deadline=$((SECONDS + $1))
   shift
@@ -31,8 +33,8 @@
   done
 }
 
-# start_stand_in NAME PROGRAM OPTION...: starts it on a free port and leaves
-# its address in the variable ADDRESS and its pid in PID.
+# start_stand_in NAME PROGRAM OPTION...: starts the stand-in on a free port; sets
+# ADDRESS to its address and PID to its process id.
 start_stand_in() {
   local log="$WORK/$1.log"
   shift
@@ -43,12 +45,14 @@
   ADDRESS=$(sed -n 's/^listening on //p' "$log")
 }
 
-# make_ports COUNT: leaves free ports in the array PORTS.
+# make_ports COUNT: sets the array PORTS to free ports.
 make_ports() {
   mapfile -t PORTS < <("$BUILD/utils/free_ports" "$1")
 }
 
-# write_settings INDEX FAILURE_DOMAIN PLATFORM CALLER_PORT PEER_PORT SEEDS
+# write_settings INDEX FAILURE_DOMAIN PLATFORM CALLER_PORT PEER_PORT SEEDS: writes
+# the settings of the daemon on host entry-INDEX. TIME_TO_LIVE and POLICY
+# override two of them.
 write_settings() {
   cat >"$WORK/entry-$1.toml" <<SETTINGS
 host = "entry-$1"
@@ -67,7 +71,8 @@
 SETTINGS
 }
 
-# start_daemon INDEX: starts the daemon of entry-INDEX; leaves its pid in PID.
+# start_daemon INDEX: starts the daemon of entry-INDEX; sets PID to its process
+# id.
 start_daemon() {
   "$BUILD/tools/cuminswitchd" "$WORK/entry-$1.toml" \
     >>"$WORK/entry-$1.log" 2>&1 &
@@ -75,8 +80,8 @@
   started_pids+=("$PID")
 }
 
-# start_daemons COUNT PLATFORM DOMAIN...: starts the daemons over the failure
-# domains; leaves CALLER_PORTS and DAEMON_PIDS.
+# start_daemons COUNT PLATFORM DOMAIN...: starts daemons spread over the failure
+# domains; sets CALLER_PORTS, PEER_PORTS and DAEMON_PIDS.
 start_daemons() {
   local count=$1 platform=$2 i seeds=""
   shift 2
@@ -97,7 +102,8 @@
 }
 
 # start_upstreams DOCUMENT OUTPUT ENGINE_OPTION...: starts a stand-in for each
-# upstream of the document and writes the document with their addresses.
+# upstream of the document, writes the document with their addresses to OUTPUT,
+# and appends the addresses to UPSTREAM_ADDRESSES.
 start_upstreams() {
   local document=$1 output=$2 old name kind model version
   shift 2
@@ -121,7 +127,7 @@
     in_upstream && /^serves/ { gsub(/[]["]/, ""); model = $3 }' "$document")
 }
 
-# is_ready PORT: whether the daemon can serve requests.
+# is_ready PORT: succeeds when the daemon can serve requests.
 is_ready() {
   "$BUILD/utils/fetch" "127.0.0.1:$1" /readyz
 }
--- a/utils/demo.sh
+++ b/utils/demo.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Shows the whole path on loopback: stand-ins, three daemons in different
-# failure domains, a document submitted, and one long prompt asked twice.
+# Demonstrates the request path on loopback: starts stand-ins and three daemons
+# in different failure domains, submits a document, and sends one long prompt
+# twice.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build}
@@ -28,17 +29,17 @@
   "$BUILD/utils/ask" --daemon "127.0.0.1:${CALLER_PORTS[0]}" \
     --credential example-tatry-wholesale --model contract-reader
 }
-echo "== the first request computes the contract"
+echo "== the first request prefills the contract"
 ask | tee "$WORK/first"
-echo "== the second finds it cached"
+echo "== the second request finds it cached"
 ask | tee "$WORK/second"
 
 value() { sed -n "s/.*$1=\([0-9]*\).*/\1/p" "$2"; }
 if (($(value cached_tokens "$WORK/second") > 0)) &&
   (($(value first_token_ms "$WORK/second") < \
   $(value first_token_ms "$WORK/first"))); then
-  echo "== prefix hit: the time to first token fell"
+  echo "== prefix cache hit: the time to first token decreased"
 else
-  echo "== no prefix hit" >&2
+  echo "== no prefix cache hit" >&2
   exit 1
 fi
--- a/utils/experiment.sh
+++ b/utils/experiment.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# Runs one experiment: the same traces against fresh daemons and stand-ins for
-# each policy and seed. Usage:
+# Runs one experiment: for each policy and seed, plays the same trace against
+# newly started daemons and stand-ins. Usage:
 #
 #   utils/experiment.sh OUTPUT.jsonl WORKLOAD RATE SECONDS "SEEDS" "POLICIES" \
 #     [LOAD_TOOL_OPTION...]
 #
-# HOSTS sets the number of daemons (8). Engines hold CACHE_BLOCKS blocks of 64
-# tokens for CACHE_KEEP_MS after their last use.
+# HOSTS sets the number of daemons (default 8). Engines cache CACHE_BLOCKS blocks
+# of 64 tokens (default 900) for CACHE_KEEP_MS after their last use (default
+# 8000).
 set -euo pipefail
 cd "$(dirname "$0")/.."
 BUILD=${BUILD:-build}
@@ -40,7 +41,7 @@
   for port in "${CALLER_PORTS[@]}"; do
     wait_for 10 is_ready "$port"
   done
-  # Slow start and shard claims are over before the load begins.
+  # Waits until slow start and shard claims are finished.
   read -rt 4 <> <(:) || true
   "$BUILD/utils/load_tool" --workload "$workload" --rate "$rate" \
     --seconds "$seconds" --seed "$seed" --label "$policy" \
--- a/utils/fetch/fetch.cc
+++ b/utils/fetch/fetch.cc
@@ -1,7 +1,8 @@
-// Fetches a path and prints the body; succeeds only on a 2xx status. Any word
-// after the path makes it a POST with that body; `-` makes it an empty POST,
-// `@` one with the body in the file that FETCH_BODY_FILE names.
-// Headers come from the variable FETCH_HEADERS, one `Name: value` a line.
+// Sends one HTTP request and prints the response body; exits with 0 only on a
+// 2xx status. A BODY argument makes the request a POST with that body: `-`
+// stands for an empty body, `@` for the contents of the file that the variable
+// FETCH_BODY_FILE names. The variable FETCH_HEADERS holds further headers, one
+// `Name: value` per line.
 #include <cstdlib>
 #include <fstream>
 #include <iostream>
--- a/utils/free_ports/free_ports.cc
+++ b/utils/free_ports/free_ports.cc
@@ -1,5 +1,5 @@
-// Prints ports that were free a moment ago, one a line, for scripts that must
-// name a daemon's addresses before it runs.
+// Prints free loopback ports, one per line, for scripts that write a daemon's
+// addresses into its settings before they start it.
 #include "StandIn/free_ports.h"
 
 #include <cstdlib>
--- a/utils/install_packages.sh
+++ b/utils/install_packages.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the Debian packages that the build needs, unless they are there.
+# Installs the Debian packages that the build needs, unless all are installed.
 set -euo pipefail
 cd "$(dirname "$0")"
 mapfile -t packages < packages.txt
--- a/utils/load_tool/caller.cc
+++ b/utils/load_tool/caller.cc
@@ -37,7 +37,8 @@
   return call;
 }
 
-/// The digest that the engine stand-in puts into each token.
+/// Returns the digest of the prompt that the engine stand-in puts into each
+/// token.
 static std::string DigestOf(const trace_request& request) {
   const prompt_text text = MakePrompt(request);
   return std::to_string(Hash64(text.preamble + text.contract + text.order) %
@@ -83,17 +84,19 @@
 }
 
 void caller::OnEnd(http_result end) {
-  result_.whole = std::chrono::duration<double>(clock::now() - sent_).count();
+  result_.total_time =
+      std::chrono::duration<double>(clock::now() - sent_).count();
   const bool streamed =
       result_.status == status_code::kOk && !result_.request->once;
   if (streamed) {
     result_.truncated = end != http_result::kComplete || !reader_.SawEnd();
-    const bool told = body_.find("event: error") != std::string::npos;
+    const bool error_reported = body_.find("event: error") != std::string::npos;
     if (!result_.truncated) {
       CheckTokens();
       result_.outcome = "answered";
-    } else if (told) {
-      // The caller was told that the answer is not whole.
+    } else if (error_reported) {
+      // The stream ended with an error event, so that the caller knows that the
+      // response is incomplete.
       result_.truncated = false;
       result_.outcome = "unknown";
     }
--- a/utils/load_tool/caller.h
+++ b/utils/load_tool/caller.h
@@ -1,4 +1,5 @@
-// One caller: asks for an address, sends one request, and checks the answer.
+/// \file
+/// One caller of the load tool: sends one request and checks the response.
 #ifndef CUMINSWITCH_UTILS_LOAD_TOOL_CALLER_H_
 #define CUMINSWITCH_UTILS_LOAD_TOOL_CALLER_H_
 
@@ -13,19 +14,22 @@
 
 namespace cuminswitch {
 
-/// How one request ended.
+/// Result of one request.
 struct call_result {
   const trace_request* request = nullptr;
   uint32_t status = 0;
   std::string outcome;
-  /// Seconds from sending to the first byte of a 200 answer; negative without.
+  /// Seconds from sending to the first byte of a 200 response; negative when
+  /// there was none.
   double first_token = -1;
-  double whole = -1;
+  /// Seconds from sending to the end of the response.
+  double total_time = -1;
   token_usage usage;
-  /// The stream ended without its terminal mark.
+  /// The stream ended without its terminal event and without an error event.
   bool truncated = false;
-  /// A token was missing, out of order, or another request's.
+  /// A token was missing, out of order, or belonged to another request.
   bool crossed = false;
+  /// The response had a Retry-After header.
   bool retry_after = false;
 };
 
@@ -39,6 +43,7 @@
     endpoint address;
     std::string model;
     std::string service;
+    /// Idempotency key of an at-most-once request.
     std::string key;
   };
 
--- a/utils/load_tool/load_tool.cc
+++ b/utils/load_tool/load_tool.cc
@@ -1,5 +1,5 @@
-// Drives running daemons with the traffic of one deployment, brings about
-// faults on a schedule, and reports what callers saw.
+// Sends the traffic of one deployment to running daemons, injects faults into
+// the upstream stand-ins on a schedule, and reports the callers' results.
 #include <event2/event.h>
 
 #include <unistd.h>
@@ -28,7 +28,8 @@
 
 using clock = std::chrono::steady_clock;
 
-constexpr std::chrono::milliseconds kPatience{60'000};
+/// How long to wait after the run for responses that are still outstanding.
+constexpr std::chrono::milliseconds kDrainTimeout{60'000};
 
 struct load_options {
   workload_options workload;
@@ -42,14 +43,15 @@
   int engines = 12;
   int cache_blocks = 4096;
   int cache_keep_ms = 10'000;
-  /// Requests of the first seconds, with cold caches, are not counted.
+  /// Seconds at the start of the run whose requests are not counted, because
+  /// caches are cold.
   double warmup = 0;
 };
 
-std::vector<std::string> Split(const std::string& text, char mark) {
+std::vector<std::string> Split(const std::string& text, char separator) {
   std::vector<std::string> parts;
   std::istringstream stream(text);
-  for (std::string part; std::getline(stream, part, mark);) {
+  for (std::string part; std::getline(stream, part, separator);) {
     if (!part.empty()) {
       parts.push_back(part);
     }
@@ -69,7 +71,7 @@
   return result;
 }
 
-/// Processor seconds that a process has used.
+/// Returns the processor seconds that a process has used.
 double CpuSeconds(const std::string& pid) {
   std::ifstream file("/proc/" + pid + "/stat");
   std::string word;
@@ -82,19 +84,20 @@
   return ticks / static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 
-/// A fault to bring about.
-struct planned_fault {
+/// A fault to inject: at second `at`, the stand-in `upstream` gets the query
+/// `control`.
+struct scheduled_fault {
   double at = 0;
   size_t upstream = 0;
   std::string control;
 };
 
-std::vector<planned_fault> ParseFaults(const std::string& text) {
-  std::vector<planned_fault> faults;
+std::vector<scheduled_fault> ParseFaults(const std::string& text) {
+  std::vector<scheduled_fault> faults;
   for (const std::string& part : Split(text, ',')) {
     const std::vector<std::string> fields = Split(part, ':');
     if (fields.size() != 3) {
-      throw usage_error("--faults wants SECOND:UPSTREAM:CONTROL,...");
+      throw usage_error("--faults must be SECOND:UPSTREAM:CONTROL,...");
     }
     faults.push_back({.at = std::stod(fields[0]),
                       .upstream = std::stoul(fields[1]),
@@ -124,9 +127,9 @@
         trace_(MakeTrace(opts.workload)),
         base_(event_base_new()),
         client_(std::make_unique<http_client>(base_)),
-        pump_(base_, [this] { Pump(); }) {
+        timer_(base_, [this] { OnTick(); }) {
     if (daemons_.empty()) {
-      throw usage_error("--daemons is needed");
+      throw usage_error("--daemons is required");
     }
   }
   load_run(const load_run&) = delete;
@@ -138,10 +141,10 @@
   }
 
   void Run() {
-    AskAddresses();
+    FetchAddresses();
     const std::map<std::string, double> cpu_before = ReadCpu();
     start_ = clock::now();
-    pump_.Start(std::chrono::milliseconds(0));
+    timer_.Start(std::chrono::milliseconds(0));
     event_base_dispatch(base_);
     seconds_ = std::chrono::duration<double>(clock::now() - start_).count();
     for (const auto& [pid, before] : cpu_before) {
@@ -160,8 +163,9 @@
     return result;
   }
 
-  /// Callers keep an address answer for a while; here for the whole run.
-  void AskAddresses() {
+  /// Fetches the host addresses of each workspace. Callers may cache them for
+  /// their time to live; the load tool uses them for the whole run.
+  void FetchAddresses() {
     std::set<std::string> workspaces;
     for (const trace_request& request : trace_) {
       workspaces.insert(request.workspace);
@@ -184,24 +188,25 @@
     return std::chrono::duration<double>(clock::now() - start_).count();
   }
 
-  void Pump() {
+  void OnTick() {
     const double now = Elapsed();
     while (next_ < trace_.size() && trace_[next_].at <= now) {
       Send(trace_[next_++]);
     }
     while (next_fault_ < faults_.size() && faults_[next_fault_].at <= now) {
-      const planned_fault& fault = faults_[next_fault_++];
+      const scheduled_fault& fault = faults_[next_fault_++];
       FetchBlocking({.to = upstreams_.at(fault.upstream),
                      .method = http_method::kPost,
                      .path = "/control?" + fault.control});
     }
     const bool sent_all = next_ == trace_.size();
-    const bool waited = now > options_.workload.seconds + ToSeconds(kPatience);
-    if ((sent_all && callers_.empty()) || waited) {
+    const bool has_timed_out =
+        now > options_.workload.seconds + ToSeconds(kDrainTimeout);
+    if ((sent_all && callers_.empty()) || has_timed_out) {
       event_base_loopbreak(base_);
       return;
     }
-    pump_.Start(std::chrono::milliseconds(1));
+    timer_.Start(std::chrono::milliseconds(1));
   }
 
   static double ToSeconds(std::chrono::milliseconds value) {
@@ -217,7 +222,8 @@
                            .count()) +
         "-" + std::to_string(request.order);
     Start(request, first, key);
-    // One order in three is repeated at once through any daemon.
+    // One at-most-once order in three is sent again immediately, through any
+    // daemon.
     if (request.once && request.order % 3 == 0) {
       Start(request, daemons_[request.order % daemons_.size()], key);
     }
@@ -244,12 +250,12 @@
   load_options options_;
   std::vector<endpoint> daemons_;
   std::vector<endpoint> upstreams_;
-  std::vector<planned_fault> faults_;
+  std::vector<scheduled_fault> faults_;
   workload_names names_;
   std::vector<trace_request> trace_;
   event_base* base_;
   std::unique_ptr<http_client> client_;
-  loop_timer pump_;
+  loop_timer timer_;
   std::map<std::string, std::vector<endpoint>> addresses_;
   std::map<caller*, std::unique_ptr<caller>> callers_;
   std::vector<call_result> results_;
@@ -261,7 +267,7 @@
   double cpu_seconds_ = 0;
 };
 
-/// Sums over all results.
+/// Totals over all counted results.
 struct totals {
   uint64_t sent = 0;
   uint64_t answered = 0;
@@ -269,10 +275,11 @@
   uint64_t unknown = 0;
   uint64_t truncated = 0;
   uint64_t crossed = 0;
-  uint64_t refused_without_time = 0;
+  uint64_t refused_without_retry_after = 0;
   double prompt_tokens = 0;
   double cached_tokens = 0;
-  /// Shared tokens computed again although some replica had them.
+  /// Tokens of shared prefixes that were computed again although a replica had
+  /// them cached.
   double wasted_tokens = 0;
   double goodput = 0;
   std::vector<double> first_token;
@@ -280,9 +287,9 @@
   std::map<int, std::vector<double>> first_token_by_second;
 };
 
-totals SumUp(const std::vector<call_result>& results,
-             double keep_seconds,
-             double warmup) {
+totals Aggregate(const std::vector<call_result>& results,
+                 double keep_seconds,
+                 double warmup) {
   totals sum;
   std::vector<const call_result*> ordered;
   ordered.reserve(results.size());
@@ -308,7 +315,7 @@
     sum.unknown += result->outcome == "unknown" ? 1 : 0;
     sum.truncated += result->truncated ? 1 : 0;
     sum.crossed += result->crossed ? 1 : 0;
-    sum.refused_without_time +=
+    sum.refused_without_retry_after +=
         result->outcome == "not_run" && !result->retry_after ? 1 : 0;
     auto& [sent, served] = sum.by_workspace[request.workspace];
     ++sent;
@@ -335,7 +342,8 @@
   return sum;
 }
 
-/// Jain's index over the served shares of the workspaces.
+/// Returns Jain's fairness index over the share of each workspace's requests
+/// that was answered.
 double Fairness(const totals& sum) {
   double total = 0;
   double squares = 0;
@@ -349,8 +357,9 @@
   return squares == 0 ? 0 : total * total / (count * squares);
 }
 
-/// Keys that a service ran more than once.
-uint64_t CountDoubledRuns(const std::vector<endpoint>& upstreams) {
+/// Returns the number of idempotency keys that a service executed more than
+/// once.
+uint64_t CountDuplicateRuns(const std::vector<endpoint>& upstreams) {
   uint64_t doubled = 0;
   for (const endpoint& upstream : upstreams) {
     const blocking_response response =
@@ -368,7 +377,7 @@
       .capacity_blocks = static_cast<size_t>(options_.cache_blocks),
       .keep = std::chrono::milliseconds(options_.cache_keep_ms)};
   const totals sum =
-      SumUp(results_, options_.cache_keep_ms / 1000.0, options_.warmup);
+      Aggregate(results_, options_.cache_keep_ms / 1000.0, options_.warmup);
   nlohmann::json json = {
       {"label", options_.label},
       {"workload", options_.workload.name},
@@ -382,8 +391,8 @@
       {"unknown", sum.unknown},
       {"truncated", sum.truncated},
       {"crossed", sum.crossed},
-      {"refused_without_retry_after", sum.refused_without_time},
-      {"doubled_runs", CountDoubledRuns(upstreams_)},
+      {"refused_without_retry_after", sum.refused_without_retry_after},
+      {"doubled_runs", CountDuplicateRuns(upstreams_)},
       {"hit_rate",
        sum.prompt_tokens == 0 ? 0 : sum.cached_tokens / sum.prompt_tokens},
       {"oracle_hit_rate",
@@ -414,26 +423,29 @@
   parser.AddNumber("seconds", opts.workload.seconds, "Length of the run");
   parser.AddInteger("seed", seed, "Seed of the trace");
   parser.AddNumber("move-hot-at", opts.workload.move_hot_at,
-                   "Second at which other contracts become hot");
+                   "Second at which other contracts become popular");
   parser.AddNumber("once-share", opts.workload.once_share,
-                   "Share of orders that may not be repeated");
-  parser.AddString("daemons", opts.daemons, "Daemons, by commas", "ADDRESSES");
-  parser.AddString("upstreams", opts.upstreams, "Upstream stand-ins, by commas",
+                   "Share of at-most-once orders");
+  parser.AddString("daemons", opts.daemons, "Daemons, separated by commas",
                    "ADDRESSES");
+  parser.AddString("upstreams", opts.upstreams,
+                   "Upstream stand-ins, separated by commas", "ADDRESSES");
   parser.AddString("faults", opts.faults,
-                   "SECOND:UPSTREAM:CONTROL by commas, as 5:0:crash=1");
+                   "SECOND:UPSTREAM:CONTROL,... such as 5:0:crash=1");
   parser.AddString("pids", opts.pids,
-                   "Daemons' pids, for their processor time");
-  parser.AddString("label", opts.label, "A name for this run");
-  parser.AddNumber("warmup", opts.warmup, "Seconds that are not counted");
+                   "Daemons' process ids, to measure their processor time");
+  parser.AddString("label", opts.label, "Name of this run in the report");
+  parser.AddNumber("warmup", opts.warmup,
+                   "Seconds at the start that are not counted");
   parser.AddString("json", opts.json, "Append the report to this file", "FILE");
-  parser.AddInteger("engines", opts.engines, "Engines, for the oracle");
+  parser.AddInteger("engines", opts.engines,
+                    "Number of engines, for the oracle");
   parser.AddInteger("cache-blocks", opts.cache_blocks,
                     "Blocks per engine, for the oracle");
   parser.AddInteger("cache-keep-ms", opts.cache_keep_ms,
-                    "How long an unused block stays, for the oracle");
+                    "Lifetime of an unused block in ms, for the oracle");
   if (!parser.Parse(ArgumentsOf(argc, argv)).empty()) {
-    throw usage_error("no arguments are taken");
+    throw usage_error("unexpected argument");
   }
   opts.workload.seed = static_cast<uint64_t>(seed);
   load_run run(opts);
--- a/utils/load_tool/oracle.h
+++ b/utils/load_tool/oracle.h
@@ -1,5 +1,6 @@
-// What a router that could look into every cache at every moment would get on
-// the same trace.
+/// \file
+/// Upper reference for the hit rate: a router that knows the contents of every
+/// cache at every moment, on the same trace.
 #ifndef CUMINSWITCH_UTILS_LOAD_TOOL_ORACLE_H_
 #define CUMINSWITCH_UTILS_LOAD_TOOL_ORACLE_H_
 
@@ -11,10 +12,10 @@
 
 namespace cuminswitch {
 
-/// Replays the trace over \p replicas caches: each request goes where most of
-/// it is cached, and one that is cached nowhere to the cache that was used
-/// least recently. Load does not matter to it. Returns the share of prompt
-/// tokens that were cached, over the requests after \p warmup seconds.
+/// Replays the trace over \p replicas caches. Each request goes to the cache
+/// that holds the longest prefix of it, and to the least recently used one
+/// among equals. Load is not considered. Returns the share of prompt tokens
+/// that were cached, over the requests after \p warmup seconds.
 double ReplayOracle(const std::vector<trace_request>& trace,
                     size_t replicas,
                     const prefix_cache::options& cache,
--- a/utils/load_tool/workload.cc
+++ b/utils/load_tool/workload.cc
@@ -12,6 +12,7 @@
 
 struct workspace_share {
   const char* name;
+  /// Of all requests.
   double share;
   uint32_t contracts;
   bool batch;
@@ -34,8 +35,10 @@
 
 constexpr uint32_t kPreambleTokens = 320;
 constexpr uint32_t kBytesPerToken = 4;
-/// Requests that are short questions about a contract, not orders.
+/// Share of requests that are short questions about a contract instead of
+/// orders.
 constexpr double kQuestionShare = 0.35;
+/// Exponent of the Zipf distribution of contracts.
 constexpr double kPopularityExponent = 1.1;
 
 std::span<const workspace_share> SharesOf(const std::string& workload) {
@@ -48,7 +51,8 @@
   throw usage_error("--workload must be slovak or sneachta");
 }
 
-/// Draws a contract by Zipf's law; \p shift moves the popularity on.
+/// Draws a contract from a Zipf distribution whose ranks are rotated by
+/// \p shift.
 uint32_t DrawContract(uint32_t contracts,
                       uint32_t shift,
                       std::mt19937_64& random) {
@@ -60,7 +64,7 @@
   return (draw(random) + shift) % contracts;
 }
 
-/// A contract's length is the same whenever it comes.
+/// Returns the length of a contract, which is the same in every request.
 uint32_t ContractTokens(const std::string& workspace, uint32_t contract) {
   constexpr uint32_t kShortest = 2500;
   constexpr uint32_t kSpread = 5000;
--- a/utils/load_tool/workload.h
+++ b/utils/load_tool/workload.h
@@ -1,6 +1,7 @@
-// The traffic of the two deployments: nested prefixes (a preamble, a contract,
-// an order), a few very hot contracts, short questions between the orders,
-// overnight checks, and orders that may not be repeated.
+/// \file
+/// Generates the traffic of two deployments: nested prefixes (a preamble, a
+/// contract, an order), a few very popular contracts, short questions between
+/// the orders, overnight batch checks, and at-most-once orders.
 #ifndef CUMINSWITCH_UTILS_LOAD_TOOL_WORKLOAD_H_
 #define CUMINSWITCH_UTILS_LOAD_TOOL_WORKLOAD_H_
 
@@ -15,14 +16,16 @@
   /// Seconds after the start.
   double at = 0;
   std::string workspace;
-  /// Which contract of the workspace.
+  /// Index of the contract within the workspace.
   uint32_t contract = 0;
-  /// Tokens of the preamble and the contract, and of the whole prompt.
+  /// Tokens of the preamble and the contract together.
   uint32_t shared_tokens = 0;
+  /// Tokens of the whole prompt.
   uint32_t prompt_tokens = 0;
   uint32_t output_tokens = 0;
+  /// Identifies the order; determines its text.
   uint64_t order = 0;
-  /// An order that may not be repeated, sent to a plain service.
+  /// At-most-once order, sent to a service instead of an engine.
   bool once = false;
   bool batch = false;
 };
@@ -30,13 +33,16 @@
 struct workload_options {
   /// `slovak` or `sneachta`.
   std::string name = "slovak";
+  /// Mean requests per second.
   double rate = 100;
   double seconds = 20;
   uint64_t seed = 1;
-  /// When the hot contracts change places; negative for never.
+  /// Second at which other contracts become popular; negative for never.
   double move_hot_at = -1;
-  /// Rate swings by this share over the run, like a peak before the market.
+  /// Relative amplitude of one sine period of the rate over the run, like the
+  /// peak before the market opens.
   double swing = 0.3;
+  /// Share of at-most-once orders.
   double once_share = 0.02;
 };
 
@@ -45,13 +51,14 @@
   std::string service;
 };
 
-/// Throws `usage_error` for an unknown name.
+/// Returns the model and the service that the workload's deployment serves.
+/// Throws `usage_error` for an unknown workload.
 workload_names NamesOf(const std::string& workload);
 
-/// Draws the trace, in order of time.
+/// Draws the trace, ordered by time.
 std::vector<trace_request> MakeTrace(const workload_options& opts);
 
-/// The text of the request's messages; equal prefixes give equal texts.
+/// Text of the request's messages; equal prefixes give equal texts.
 struct prompt_text {
   std::string preamble;
   std::string contract;
--- a/utils/regression.sh
+++ b/utils/regression.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Plays the regression set on the users' deployments and prints, for each, the
-# worth of its days and its gate.
+# Scores the regression set of the users' deployments and prints, for each, the
+# score of its days and how often its gate passed.
 #
 #   utils/regression.sh BENCH SITES [TIMES [JOBS]]
 #
-# BENCH is the users' bench, SITES the folder that holds their site files. With
-# TIMES over 1 each deployment is scored so often, and the least, the mean and the
-# greatest worth of each day are printed.
+# BENCH is the users' benchmark program, SITES the folder of their site files.
+# Each deployment is scored TIMES times (default 1); the mean, the minimum and the
+# maximum score of each day are printed. JOBS (default 4) is BENCH's --jobs.
 set -euo pipefail
 if [ $# -lt 2 ]; then
   sed -n '2,9s/^# \{0,1\}//p' "$0" >&2
@@ -18,9 +18,8 @@
 jobs=${4:-4}
 cd "$(dirname "$0")/.."
 
-# The latest deployments first; the large one stands in the place of the two
-# first ones.
-set_of_sites=(
+# Newest deployments first. The large one replaces the first two deployments.
+regression_sites=(
   demands/trz-roam-grown
   demands/socios-quito-grown
   shifted/skzp-objednavky-now-grown
@@ -33,7 +32,7 @@
 
 scratch=$(mktemp -d)
 trap 'rm -rf "$scratch"' EXIT
-for site in "${set_of_sites[@]}"; do
+for site in "${regression_sites[@]}"; do
   out="$scratch/$(basename "$site")"
   for ((i = 0; i < times; ++i)); do
     "$bench" score "$sites/$site.toml" --jobs "$jobs" \
--- a/utils/soak.sh
+++ b/utils/soak.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Runs the fault soak for seeds, a few at a time, and prints what each found.
-# The logs of a seed that broke a promise stay in WORK.
+# Runs the fault-injection soak test for a range of seeds, several at a time, and
+# prints the result of each. The logs of seeds with a violation stay in WORK.
 #
 #   utils/soak.sh FIRST LAST [SECONDS [AT_A_TIME]]
 #
-# SOAK_OPTIONS: further options of each run, such as "--limits --daemons 6".
+# SOAK_OPTIONS: further options for each run, such as "--limits --daemons 6".
 set -euo pipefail
 cd "$(dirname "$0")/.."
 first=$1 last=$2 seconds=${3:-10} at_a_time=${4:-4}
--- a/utils/sources.sh
+++ b/utils/sources.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Lists our C++ sources; generated code is left out.
+# Lists the C++ sources, except generated code.
 cd "$(dirname "$0")/.."
 find include lib platform tools utils unittests test fuzz benchmarks \
   \( -name '*.h' -o -name '*.cc' \) ! -name '*_generated.h' 2>/dev/null | sort
